--- a/src/siskinshift/flows/__init__.py
+++ b/src/siskinshift/flows/__init__.py
@@ -1,3 +1,3 @@
-"""Ownership and hand-over of flows between agents."""
+"""Ownership of flows and their handover between agents."""
 
 from __future__ import annotations
--- a/src/siskinshift/flows/actions.py
+++ b/src/siskinshift/flows/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the agent's flow decisions return."""
+"""Actions that the flow router of an agent returns."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @frozen
 class DeliverToFlow:
-    """Action: hand a packet to a flow that this agent owns.
+    """Action: deliver a packet to a flow that this agent owns.
 
     Attributes:
-        flow_hash: The flow.
+        flow_hash: Hash of the flow.
         service_id: Service of the flow.
         packet: The caller's datagram.
-        is_new: Whether the flow begins with this packet.
+        is_new: Whether this packet creates the flow.
     """
 
     flow_hash: int
@@ -32,11 +32,11 @@
 
 @frozen
 class ForwardToAgent:
-    """Action: pass an envelope on to a peer.
+    """Action: forward an envelope to a peer.
 
     Attributes:
         agent: The peer.
-        envelope: What to send it.
+        envelope: The envelope to send.
     """
 
     agent: Member
@@ -48,7 +48,7 @@
     """Action: drop an envelope and count it.
 
     Attributes:
-        error: Why.
+        error: Reason for the drop.
     """
 
     error: ErrorKind
@@ -56,11 +56,11 @@
 
 @frozen
 class SendNotes:
-    """Action: send notes to a peer; the reply is FlowNotes with nothing in it.
+    """Action: send notes to a peer; the HTTP response only acknowledges receipt.
 
     Attributes:
         agent: The peer.
-        notes: The batch.
+        notes: The message.
     """
 
     agent: Member
--- a/src/siskinshift/flows/bucket_differences.py
+++ b/src/siskinshift/flows/bucket_differences.py
@@ -1,8 +1,8 @@
-"""Shortens the lists of buckets in hand-over messages for their way as JSON.
+"""Delta-encodes the bucket lists of handover messages, which are sent as JSON.
 
 A claim of all 1,024 buckets is 4.9 KB of JSON as numbers and 2 KB as differences.
-When a whole service starts, each agent sends several to each peer, and longer ones
-spent the budget of hand-over messages: buckets settled seconds late.
+When a whole service starts, each agent sends several claims to each peer. Larger
+messages exhausted the byte budget of the handover and delayed claims by seconds.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 def to_differences(notes: FlowNotes) -> FlowNotes:
-    """Makes the form of a message that is sent.
+    """Encodes the bucket lists of a message for sending.
 
     Args:
-        notes: The message; the order of buckets in it means nothing.
+        notes: The message; the order of its buckets is not preserved.
 
     Returns:
-        The message with differences in place of buckets.
+        The message with differences instead of bucket numbers.
     """
     return attrs.evolve(
         notes,
@@ -39,13 +39,13 @@
 
 
 def from_differences(notes: FlowNotes) -> FlowNotes:
-    """Reads the form of a message that was sent.
+    """Decodes the bucket lists of a received message.
 
     Args:
         notes: The message with differences.
 
     Returns:
-        The message with its buckets in order.
+        The message with sorted bucket numbers.
     """
     return attrs.evolve(
         notes,
--- a/src/siskinshift/flows/claims.py
+++ b/src/siskinshift/flows/claims.py
@@ -1,4 +1,4 @@
-"""What an agent knows of one bucket that it is, or was, primary of."""
+"""Claim of one bucket, with the known owners of its flows."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 from attrs import define
 
 
-DOUBTED_VERSION = -1
+UNVERIFIED_VERSION = -1
 
 
 @define(eq=False)
 class Claim:
-    """An agent's claim to be the one that creates flows in a bucket.
+    """An agent's claim to be the only agent that creates flows in a bucket.
 
-    A settled claim is the right to create flows. At most one agent holds it: a
-    claim settles once each peer has confirmed it, and a peer that confirms gives
-    up its own claim in the same step.
+    A complete claim is the right to create flows. At most one agent has it: a claim
+    is complete once each peer has confirmed it, and a peer that confirms gives up its
+    own claim in the same step.
 
     Attributes:
-        version: Version of the agent's view when the claim began.
-        started_at: Clock reading when the claim began, seconds.
-        previous_id: Agent that was primary before; empty when unknown.
-        pending: Peers that have not confirmed yet.
-        settled: Whether the agent may create flows.
-        left_at: When the agent's own view named another primary, or None.
+        version: Version of the agent's view when the claim started.
+        started_at: Clock reading when the claim started, seconds.
+        previous_id: Member id of the previous primary; empty if unknown.
+        pending_peer_ids: Peers that have not confirmed yet.
+        is_complete: Whether the agent may create flows.
+        left_at: Clock reading when the agent's view named another primary, or None.
         owners_by_flow: Notes: member ids of owners by flow hash.
-        versions_by_flow: For notes that the owner did not confirm itself: version of
-            its view when it asked for the flow, or DOUBTED_VERSION.
-        permitted: Flows that this agent itself let a peer create.
+        versions_by_flow: For notes that the owner has not confirmed: version of the
+            owner's view when it sent the query, or UNVERIFIED_VERSION.
+        permitted: Flows that this agent permitted a peer to create.
     """
 
     version: int
     started_at: float
     previous_id: str
-    pending: set[str]
-    settled: bool = False
+    pending_peer_ids: set[str]
+    is_complete: bool = False
     left_at: float | None = None
     owners_by_flow: dict[int, str] = Factory(dict)
     versions_by_flow: dict[int, int] = Factory(dict)
@@ -45,9 +45,9 @@
 
         Args:
             digest: Hash of the flow.
-            owner_id: Its owner.
-            version: Version of the owner's view when it asked for the flow; None
-                when the owner itself said that it owns the flow.
+            owner_id: Member id of the owner.
+            version: Version of the owner's view when it sent the query; None if the
+                owner itself reported the flow.
         """
         self.owners_by_flow[digest] = owner_id
         if version is None:
@@ -67,44 +67,44 @@
         self.permitted.discard(digest)
 
     def permit(self, digest: int, owner_id: str, version: int) -> None:
-        """Records that a peer may create a flow.
+        """Records the permission of a peer to create a flow.
 
         Args:
             digest: Hash of the flow.
             owner_id: The peer.
-            version: Version of the peer's view when it asked.
+            version: Version of the peer's view when it sent the query.
         """
         self.note(digest, owner_id, version)
         self.permitted.add(digest)
 
-    def doubt_notes(self) -> None:
-        """Marks all notes as not confirmed, so that an audit asks the owners."""
+    def mark_notes_unverified(self) -> None:
+        """Marks all notes as unconfirmed, so that the audit verifies them."""
         for digest in self.owners_by_flow:
-            self.versions_by_flow.setdefault(digest, DOUBTED_VERSION)
+            self.versions_by_flow.setdefault(digest, UNVERIFIED_VERSION)
 
     def replace_list(self, owner_id: str, flows: set[int], version: int) -> None:
-        """Takes an owner's complete list of its flows in the bucket.
+        """Applies an owner's complete list of its flows in the bucket.
 
         Args:
             owner_id: The owner.
             flows: Hashes of all its flows in the bucket.
-            version: Version of the owner's view when it made the list.
+            version: Version of the owner's view when it built the list.
         """
         for digest, known_id in tuple(self.owners_by_flow.items()):
             if known_id != owner_id or digest in flows:
                 continue
-            # A list made before the owner asked for the flow says nothing of it.
+            # A list built before the owner's query does not cover the flow.
             if self.versions_by_flow.get(digest, -1) <= version:
                 self.forget(digest)
         for digest in flows:
             known_id = self.owners_by_flow.get(digest, owner_id)
-            # An owner that was counted as gone comes back after the flow began anew
-            # elsewhere: the caller stays where it is now.
+            # If an owner that was declared gone returns after the flow was created
+            # again on another agent, the caller stays with that agent.
             if known_id == owner_id or digest in self.versions_by_flow:
                 self.note(digest, owner_id)
 
     def forget_owner(self, owner_id: str) -> None:
-        """Drops all notes about an owner that is gone.
+        """Drops all notes about the flows of an owner that is gone.
 
         Args:
             owner_id: The owner.
@@ -114,9 +114,9 @@
                 self.forget(digest)
 
     def forget_listed(self, owner_id: str) -> None:
-        """Drops the notes that an owner told itself, because it has started anew.
+        """Drops the notes from the lists of an owner that has restarted.
 
-        Permissions stay: the question may have come from the new life already.
+        Permissions stay: the query may have come from the new incarnation.
 
         Args:
             owner_id: The owner.
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -1,13 +1,16 @@
-"""Lists of flows in buckets: sent until accepted, taken in, audited."""
+"""Exchanges lists of the flows in each bucket between owners and primaries.
+
+An owner sends a list again until the primary has accepted it.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from siskinshift.flows.notes_writer import retry_pause
+from siskinshift.flows.notes_writer import retry_delay
 from siskinshift.flows.service_flows import ALL_BUCKETS
+from siskinshift.flows.service_flows import PendingList
 from siskinshift.flows.service_flows import ReleasedBucket
-from siskinshift.flows.service_flows import UnsentList
 from siskinshift.messages.flows import FlowNote
 from siskinshift.messages.flows import FlowNotes
 from siskinshift.routing.buckets import bucket_of
@@ -19,36 +22,39 @@
     from siskinshift.flows.actions import SendNotes
     from siskinshift.flows.notes_writer import NotesWriter
     from siskinshift.flows.peers import Peers
+    from siskinshift.flows.service_flows import PeerClaim
     from siskinshift.flows.service_flows import ServiceFlows
-    from siskinshift.flows.service_flows import WantedClaim
     from siskinshift.settings.generated import FlowsSettings
 
 
-# A claim usually comes for a bucket that moved; only without one a list is pushed.
+# The new primary of a bucket usually claims it, and the confirmation carries the list.
+# The list is pushed only if no claim arrives within this delay.
 PUSH_DELAY_SECONDS = 1.0
-# Upper bound of a message: 500 hashes of 20 digits make about 10 KB.
-FLOWS_A_MESSAGE = 500
+# Bounds the message size: 500 hashes of 20 digits are about 10 KB.
+MAX_FLOWS_PER_MESSAGE = 500
 
 
 class FlowLists:
-    """Keeps primaries informed of the agent's flows, and takes in their peers'."""
+    """Sends the lists of this agent's flows to primaries and applies those of peers."""
 
     def __init__(
         self, *, peers: Peers, writer: NotesWriter, settings: FlowsSettings
     ) -> None:
-        """Prepares without lists.
+        """Initializes the exchange without lists.
 
         Args:
-            peers: The agent and its peers.
-            writer: Makes messages.
-            settings: Times and bounds.
+            peers: State of this agent and its peers.
+            writer: Builds the messages.
+            settings: Timeouts and limits of the flow layer.
         """
         self._peers = peers
         self._writer = writer
         self._note_limit = settings.note_limit
 
-    def primary_moved(self, state: ServiceFlows, bucket: int, *, now: float) -> None:
-        """Plans a list for the new primary of a bucket.
+    def on_primary_changed(
+        self, state: ServiceFlows, bucket: int, *, now: float
+    ) -> None:
+        """Schedules a list for the new primary of a bucket.
 
         Args:
             state: Service of the bucket.
@@ -57,12 +63,12 @@
         """
         if bucket in state.claims_by_bucket or bucket in state.flows_by_bucket:
             due_at = now + PUSH_DELAY_SECONDS
-            state.unsent_by_bucket[bucket] = UnsentList(due_at=due_at)
+            state.pending_lists_by_bucket[bucket] = PendingList(due_at=due_at)
         else:
-            state.unsent_by_bucket.pop(bucket, None)
+            state.pending_lists_by_bucket.pop(bucket, None)
 
     def flow_ended(self, state: ServiceFlows, digest: int, *, now: float) -> None:
-        """Forgets an own flow and takes its note back.
+        """Removes an owned flow and schedules a list without it.
 
         Args:
             state: Service of the flow.
@@ -73,12 +79,15 @@
         bucket = bucket_of(digest)
         if state.primary_id_of(bucket) in ("", self._peers.member_id):
             return
-        # The list is sent again without the flow; endings close together share it.
-        unsent = state.unsent_by_bucket.get(bucket)
+        # The list is sent again without the flow. Flows that end within the delay share
+        # one list.
+        pending_list = state.pending_lists_by_bucket.get(bucket)
         due_at = now + PUSH_DELAY_SECONDS
-        if unsent is not None:
-            due_at = min(due_at, unsent.due_at)
-        state.unsent_by_bucket[bucket] = UnsentList(due_at=due_at, takes_back=True)
+        if pending_list is not None:
+            due_at = min(due_at, pending_list.due_at)
+        state.pending_lists_by_bucket[bucket] = PendingList(
+            due_at=due_at, retracts_flows=True
+        )
 
     def push(self, state: ServiceFlows, *, now: float) -> list[SendNotes]:
         """Sends the lists that are due to the primaries.
@@ -91,14 +100,14 @@
             Messages to send.
         """
         buckets_by_primary: dict[str, list[int]] = {}
-        for bucket, unsent in tuple(state.unsent_by_bucket.items()):
-            if unsent.due_at > now:
+        for bucket, pending_list in tuple(state.pending_lists_by_bucket.items()):
+            if pending_list.due_at > now:
                 continue
             primary_id = state.primary_id_of(bucket)
             if primary_id == self._peers.member_id:
-                del state.unsent_by_bucket[bucket]
+                del state.pending_lists_by_bucket[bucket]
             elif not primary_id:
-                unsent.due_at = now + PUSH_DELAY_SECONDS
+                pending_list.due_at = now + PUSH_DELAY_SECONDS
             else:
                 buckets_by_primary.setdefault(primary_id, []).append(bucket)
         actions = []
@@ -111,21 +120,21 @@
         state: ServiceFlows,
         peer_id: str,
         buckets: Iterable[int],
-        wanted: WantedClaim | None,
+        peer_claim: PeerClaim | None,
         *,
         now: float,
         version: int = 0,
     ) -> list[SendNotes]:
-        """Sends the lists of buckets, in messages of bounded size.
+        """Sends the lists of buckets in messages of bounded size.
 
         Args:
             state: Service of the buckets.
             peer_id: The receiver.
             buckets: The buckets.
-            wanted: The claim that is answered, if any.
+            peer_claim: The claim that the lists confirm, if any.
             now: Clock reading, seconds.
-            version: Version of the view up to which the lists speak; 0 for the
-                present view's.
+            version: Version of the view up to which the lists are valid; 0 for the
+                version of the current view.
 
         Returns:
             Messages to send.
@@ -142,23 +151,23 @@
                     for digest in state.flows_by_bucket.get(bucket, ())
                 ),
                 notes=tuple(self._grants_of(state, batch)),
-                given_to=self._given_to(state, batch, peer_id),
-                receiver_incarnation=wanted.incarnation if wanted else 0,
-                confirmed_version=wanted.version if wanted else 0,
+                given_to=self._confirmed_peers(state, batch, peer_id),
+                receiver_incarnation=peer_claim.incarnation if peer_claim else 0,
+                confirmed_version=peer_claim.version if peer_claim else 0,
             )
             actions += self._writer.send(peer_id, message)
             for bucket in batch:
-                unsent = state.unsent_by_bucket.get(bucket)
-                if unsent is not None:
-                    unsent.sequence = self._writer.sequence
-                    unsent.due_at = now + retry_pause(unsent.attempts)
-                    unsent.attempts += 1
+                pending_list = state.pending_lists_by_bucket.get(bucket)
+                if pending_list is not None:
+                    pending_list.sequence = self._writer.sequence
+                    pending_list.due_at = now + retry_delay(pending_list.attempts)
+                    pending_list.attempts += 1
         return actions
 
     def on_list(
         self, state: ServiceFlows, notes: FlowNotes, *, now: float
     ) -> tuple[list[SendNotes], list[int]]:
-        """Takes a peer's list.
+        """Handles a peer's list.
 
         Args:
             state: Service of the list.
@@ -166,9 +175,9 @@
             now: Clock reading, seconds.
 
         Returns:
-            Messages to send, and the buckets whose lists were taken.
+            Messages to send, and the buckets whose lists were applied.
         """
-        if not self._peers.takes_list(notes):
+        if not self._peers.accepts_list(notes):
             return [], []
         buckets = valid_buckets(notes.listed_buckets)
         if state.note_count() + len(notes.flows) > self._note_limit:
@@ -181,36 +190,36 @@
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
             if claim is None:
-                continue  # Should the bucket come here, a claim asks for the list.
+                continue  # If the bucket moves here, a claim will request the list.
             flows = flows_by_bucket.get(bucket, set())
             claim.replace_list(notes.sender_id, flows, notes.sender_version)
             if flows:
                 state.released.append(ReleasedBucket(bucket, frozenset(flows)))
-        self._take_grants(state, notes)
+        self._apply_grants(state, notes)
         return self._accept(state, notes, buckets), buckets
 
     def on_acceptance(self, state: ServiceFlows, notes: FlowNotes) -> None:
-        """Takes note that a primary has taken lists in.
+        """Handles the acceptance of lists by a primary.
 
         Args:
             state: Service of the lists.
             notes: The acceptance.
         """
         for bucket in notes.accepted_buckets:
-            unsent = state.unsent_by_bucket.get(bucket)
-            if unsent is None or unsent.sequence != notes.accepted_sequence:
+            pending_list = state.pending_lists_by_bucket.get(bucket)
+            if pending_list is None or pending_list.sequence != notes.accepted_sequence:
                 continue
-            del state.unsent_by_bucket[bucket]
+            del state.pending_lists_by_bucket[bucket]
             claim = state.claims_by_bucket.get(bucket)
-            if claim and claim.left_at is not None and not claim.settled:
+            if claim and claim.left_at is not None and not claim.is_complete:
                 del state.claims_by_bucket[bucket]
-                state.unsettled.discard(bucket)
+                state.incomplete_buckets.discard(bucket)
 
     def _refuse(
         self, state: ServiceFlows, buckets: Iterable[int], *, now: float
     ) -> None:
-        # Without its notes a bucket must not settle: new flows are refused there, as
-        # nobody can tell them from flows that others own.
+        # Without its notes the claim of a bucket must not complete: the agent could not
+        # distinguish new flows from flows that peers own, so new flows are refused.
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
             if claim is not None:
@@ -219,8 +228,8 @@
     def _accept(
         self, state: ServiceFlows, notes: FlowNotes, buckets: list[int]
     ) -> list[SendNotes]:
-        says_nothing = not notes.flows and not notes.notes
-        if not buckets or (says_nothing and notes.confirmed_version):
+        is_empty = not notes.flows and not notes.notes
+        if not buckets or (is_empty and notes.confirmed_version):
             return []
         message = FlowNotes(
             service_id=state.service_id,
@@ -229,7 +238,7 @@
         )
         return self._writer.send(notes.sender_id, message)
 
-    def _take_grants(self, state: ServiceFlows, notes: FlowNotes) -> None:
+    def _apply_grants(self, state: ServiceFlows, notes: FlowNotes) -> None:
         for note in notes.notes:
             claim = state.claims_by_bucket.get(bucket_of(note.flow_hash))
             if claim is None or state.owns(note.flow_hash):
@@ -253,23 +262,23 @@
                     owner_version=granted.version,
                 )
 
-    def _given_to(
+    def _confirmed_peers(
         self, state: ServiceFlows, buckets: Iterable[int], peer_id: str
     ) -> tuple[str, ...]:
-        given_ids: set[str] = set()
+        confirmed_ids: set[str] = set()
         for bucket in buckets:
-            given_ids.update(state.given_by_bucket.get(bucket, ()))
-        return tuple(sorted((given_ids & self._peers.live_ids) - {peer_id}))
+            confirmed_ids.update(state.confirmations_by_bucket.get(bucket, ()))
+        return tuple(sorted((confirmed_ids & self._peers.live_ids) - {peer_id}))
 
 
 def valid_buckets(buckets: Iterable[int]) -> list[int]:
-    """Leaves out numbers that are no buckets.
+    """Drops numbers that are not bucket numbers.
 
     Args:
         buckets: Numbers from a message.
 
     Returns:
-        The buckets among them.
+        The valid bucket numbers.
     """
     return [bucket for bucket in buckets if bucket in ALL_BUCKETS]
 
@@ -280,7 +289,7 @@
     for bucket in buckets:
         size = len(state.flows_by_bucket.get(bucket, ()))
         size += len(state.granted_by_bucket.get(bucket, ()))
-        if batch and count + size > FLOWS_A_MESSAGE:
+        if batch and count + size > MAX_FLOWS_PER_MESSAGE:
             yield batch
             batch, count = [], 0
         batch.append(bucket)
--- a/src/siskinshift/flows/hand_over.py
+++ b/src/siskinshift/flows/hand_over.py
@@ -1,21 +1,22 @@
-"""How buckets and what is known of their flows go from agent to agent.
+"""Handover of buckets, and of the owners of their flows, between agents.
 
-An agent whose view names it primary of a bucket claims the bucket from each peer
-of the service. A peer whose view agrees answers with the list of its flows there
-and gives up its own claim. Once all have answered, the claim is settled: the agent
-knows the owner of each flow of the bucket and alone may create flows. The previous
-primary is asked last, so that somebody may create flows all the time.
+An agent that its own view names primary of a bucket claims the bucket from each peer
+of the service. A peer whose view agrees replies with the list of its flows in the
+bucket and gives up its own claim. Once all peers have replied, the claim is complete:
+the agent has the owner of each flow of the bucket, and it alone may create flows. The
+request to the previous primary is sent last, so that at any time some agent may
+create flows.
 
-See docs/design/flow-hand-over.md for the ways that were weighed.
+See docs/design/flow-hand-over.md for the alternatives that were considered.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from siskinshift.flows.claim_keeper import ClaimKeeper
+from siskinshift.flows.bucket_claims import BucketClaims
 from siskinshift.flows.flow_lists import FlowLists
-from siskinshift.flows.note_audit import AUDIT_SECONDS
+from siskinshift.flows.note_audit import AUDIT_INTERVAL_SECONDS
 from siskinshift.flows.note_audit import NoteAudit
 from siskinshift.flows.notes_writer import NotesWriter
 from siskinshift.flows.peers import Peers
@@ -31,25 +32,25 @@
     from siskinshift.settings.generated import FlowsSettings
 
 
-HOUSEKEEPING_SECONDS = 0.25
+HOUSEKEEPING_INTERVAL_SECONDS = 0.25
 
 
-class HandOver:
-    """Runs claims, lists and audits of one agent. No I/O, no clock.
+class FlowHandover:
+    """Coordinates the claims, flow lists and audits of one agent. No I/O, no clock.
 
     Attributes:
-        services_by_id: What is held of each service that the agent serves.
+        services_by_id: Flow state of each service that the agent serves.
     """
 
     def __init__(
         self, *, member_id: str, incarnation: int, settings: FlowsSettings
     ) -> None:
-        """Prepares without a view.
+        """Initializes the handover without a view.
 
         Args:
             member_id: The agent's own id.
             incarnation: The agent's own incarnation.
-            settings: Times and bounds.
+            settings: Timeouts and limits of the flow layer.
         """
         self.services_by_id: dict[str, ServiceFlows] = {}
         self._peers = Peers(
@@ -57,7 +58,7 @@
         )
         writer = NotesWriter(self._peers)
         self._lists = FlowLists(peers=self._peers, writer=writer, settings=settings)
-        self._claims = ClaimKeeper(
+        self._claims = BucketClaims(
             peers=self._peers, writer=writer, lists=self._lists, settings=settings
         )
         self._audit = NoteAudit(peers=self._peers, writer=writer, lists=self._lists)
@@ -67,32 +68,32 @@
 
     @property
     def view(self) -> View | None:
-        """The view that decides; None before the first."""
+        """The current view; None before the first."""
         return self._peers.view
 
     def is_live(self, peer_id: str) -> bool:
-        """Says whether a peer lives as far as this agent knows.
+        """Returns whether a peer is alive according to the current view.
 
         Args:
             peer_id: The peer.
 
         Returns:
-            Whether it does.
+            Whether the peer is alive.
         """
         return peer_id in self._peers.live_ids
 
     def update(self, view: View, *, now: float) -> list[SendNotes]:
-        """Takes a new view.
+        """Applies a new view.
 
         Args:
-            view: The view that decides from now on.
+            view: The view to use from now on.
             now: Clock reading, seconds.
 
         Returns:
             Messages to send.
         """
         self._chooser.update(view)
-        change = self._peers.take(view, now=now)
+        change = self._peers.apply_view(view, now=now)
         if change is None:
             return []
         for state in self.services_by_id.values():
@@ -100,24 +101,24 @@
                 state.forget_owner(member_id)
             for member_id in change.restarted:
                 state.forget_listed(member_id)
-        self._serve_class_of(change.own)
+        self._update_served_services(change.own)
         actions: list[SendNotes] = []
         for state in self.services_by_id.values():
             service = view.services_by_id.get(state.service_id)
             if service is None or service.upstream_class != change.own.upstream_class:
                 continue
-            self._claims.adapt(state, change.appeared, now=now)
-            if change.was_doubted:
-                self._claims.renew(state, now=now)
+            self._claims.apply_peer_changes(state, change.appeared, now=now)
+            if change.was_suspected:
+                self._claims.restart_all(state, now=now)
             table = self._chooser.table_of(service)
-            self._claims.take_table(state, service, table, now=now)
-            actions += self._claims.confirm_wanted(state, now=now)
-            self._claims.settle_all(state, now=now)
-            actions += self._claims.ask(state, now=now)
+            self._claims.apply_table(state, service, table, now=now)
+            actions += self._claims.confirm_peer_claims(state, now=now)
+            self._claims.complete_confirmed(state, now=now)
+            actions += self._claims.request_confirmations(state, now=now)
         return actions
 
     def on_notes(self, notes: FlowNotes, *, now: float) -> list[SendNotes]:
-        """Takes a message of a peer.
+        """Handles a message from a peer.
 
         Args:
             notes: The message.
@@ -130,7 +131,7 @@
         is_own = notes.sender_id == self._peers.member_id
         if state is None or state.table is None or is_own:
             return []
-        is_new = self._peers.hear(notes, now=now)
+        is_new = self._peers.on_message(notes, now=now)
         if is_new is None:
             return []
         if is_new:
@@ -140,10 +141,12 @@
         if notes.claimed_buckets:
             actions += self._claims.on_claim(state, notes, now=now)
         if notes.listed_buckets:
-            answers, taken = self._lists.on_list(state, notes, now=now)
-            actions += answers
-            if notes.confirmed_version and taken:
-                actions += self._claims.on_confirmation(state, notes, taken, now=now)
+            replies, applied_buckets = self._lists.on_list(state, notes, now=now)
+            actions += replies
+            if notes.confirmed_version and applied_buckets:
+                actions += self._claims.on_confirmation(
+                    state, notes, applied_buckets, now=now
+                )
         if notes.accepted_buckets:
             self._lists.on_acceptance(state, notes)
         if notes.audited_buckets:
@@ -151,7 +154,7 @@
         return actions
 
     def flow_ended(self, state: ServiceFlows, digest: int, *, now: float) -> None:
-        """Forgets an own flow and takes its note back.
+        """Removes an owned flow and schedules the update of its primary.
 
         Args:
             state: Service of the flow.
@@ -160,62 +163,62 @@
         """
         self._lists.flow_ended(state, digest, now=now)
 
-    def notice_pause(self, *, now: float) -> None:
-        """Voids rights that peers may have taken over, after the process stood still.
+    def on_pause(self, *, now: float) -> None:
+        """Restarts all claims after a pause, in which peers may have taken them over.
 
         Args:
             now: Clock reading, seconds.
         """
-        self._peers.notice_pause(now=now)
+        self._peers.on_pause(now=now)
         for state in self.services_by_id.values():
-            self._claims.renew(state, now=now)
+            self._claims.restart_all(state, now=now)
 
     def tick(self, *, now: float) -> list[SendNotes]:
-        """Lets time pass.
+        """Runs the timers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Messages that have become due.
+            Messages that are due.
         """
         actions: list[SendNotes] = []
-        housekeeping = now >= self._housekeeping_at
-        if housekeeping:
-            self._housekeeping_at = now + HOUSEKEEPING_SECONDS
+        housekeeping_due = now >= self._housekeeping_at
+        if housekeeping_due:
+            self._housekeeping_at = now + HOUSEKEEPING_INTERVAL_SECONDS
         audit_due = now >= self._audit_at
         if audit_due:
-            self._audit_at = now + AUDIT_SECONDS
+            self._audit_at = now + AUDIT_INTERVAL_SECONDS
         for state in self.services_by_id.values():
-            if state.unsent_by_bucket:
+            if state.pending_lists_by_bucket:
                 actions += self._lists.push(state, now=now)
-            if housekeeping:
-                self._claims.skip_silent_peers(state, now=now)
-                self._claims.settle_all(state, now=now)
-                self._claims.expire_memories(state, now=now)
+            if housekeeping_due:
+                self._claims.drop_unresponsive_peers(state, now=now)
+                self._claims.complete_confirmed(state, now=now)
+                self._claims.expire_records(state, now=now)
             if audit_due:
-                actions += self._audit.ask(state)
-            if state.unsettled:
-                actions += self._claims.ask(state, now=now)
+                actions += self._audit.request_lists(state)
+            if state.incomplete_buckets:
+                actions += self._claims.request_confirmations(state, now=now)
         return actions
 
     def note_count(self) -> int:
-        """Counts the notes held.
+        """Counts the stored notes.
 
         Returns:
-            Their number.
+            The number of notes.
         """
         return sum(state.note_count() for state in self.services_by_id.values())
 
     def pending_count(self) -> int:
-        """Counts lists that primaries have not accepted yet.
+        """Counts the flow lists that primaries have not accepted yet.
 
         Returns:
-            Their number.
+            The number of lists.
         """
-        return sum(len(s.unsent_by_bucket) for s in self.services_by_id.values())
+        return sum(len(s.pending_lists_by_bucket) for s in self.services_by_id.values())
 
-    def _serve_class_of(self, own: Member) -> None:
+    def _update_served_services(self, own: Member) -> None:
         view = self._peers.view
         assert view is not None
         served = {
@@ -228,7 +231,7 @@
                 continue
             del self.services_by_id[service_id]
             if state.flows_by_bucket:
-                # Its flows go on; claims and notes are void without a service.
+                # Its flows continue; claims and notes are void without a service.
                 self.services_by_id[service_id] = ServiceFlows(
                     service_id, flows_by_bucket=state.flows_by_bucket
                 )
--- a/src/siskinshift/flows/held_packets.py
+++ b/src/siskinshift/flows/held_packets.py
@@ -1,4 +1,4 @@
-"""Envelopes that wait until their bucket settles, bounded in count and time."""
+"""Holds envelopes until the claim of their bucket is complete."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 class HeldPackets:
     """Holds envelopes of flows whose owner is not known yet.
 
-    Pattern of load: an agent dies, and all callers of its buckets send on. Without
-    the hold their flows would break although their owners live, because the notes
-    died with the agent. The bounds keep a flood of new flows from taking memory;
-    callers of datagrams send again what was dropped.
+    When an agent fails, its notes are lost and the callers of its buckets keep
+    sending. Without the hold, flows whose owners are still alive would break. The
+    count and the time are bounded, so that a flood of new flows cannot exhaust memory;
+    callers of datagrams retransmit what was dropped.
     """
 
     def __init__(self, *, limit: int, timeout: float) -> None:
-        """Prepares an empty store.
+        """Initializes an empty store.
 
         Args:
-            limit: Envelopes held at most.
-            timeout: Seconds an envelope waits at most.
+            limit: Maximum number of held envelopes.
+            timeout: Maximum time that an envelope is held, seconds.
         """
         self._limit = limit
         self._timeout = timeout
-        self._numbers = 0
+        self._last_number = 0
         self._held_by_number: OrderedDict[int, _HeldEnvelope] = OrderedDict()
         self._numbers_by_bucket: dict[tuple[str, int], list[int]] = {}
 
@@ -58,25 +58,25 @@
             service_id: Service of the flow.
             bucket: Bucket of the flow.
             digest: Hash of the flow.
-            envelope: What to hold.
+            envelope: The envelope to hold.
             now: Clock reading, seconds.
 
         Returns:
-            False when there is no room.
+            False if the limit is reached.
         """
         if len(self._held_by_number) >= self._limit:
             return False
-        self._numbers += 1
+        self._last_number += 1
         held = _HeldEnvelope(service_id, bucket, digest, envelope, now)
-        self._held_by_number[self._numbers] = held
+        self._held_by_number[self._last_number] = held
         numbers = self._numbers_by_bucket.setdefault((service_id, bucket), [])
-        numbers.append(self._numbers)
+        numbers.append(self._last_number)
         return True
 
     def release(
         self, service_id: str, bucket: int, flows: set[int] | None = None
     ) -> list[Envelope]:
-        """Takes out the envelopes of a bucket, in the order they came.
+        """Removes and returns the envelopes of a bucket in order of arrival.
 
         Args:
             service_id: Service of the bucket.
@@ -98,13 +98,13 @@
         return released
 
     def expire(self, *, now: float) -> int:
-        """Drops envelopes that waited too long.
+        """Drops envelopes that were held longer than the timeout.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            How many were dropped.
+            The number of dropped envelopes.
         """
         dropped = 0
         while self._held_by_number:
--- a/src/siskinshift/flows/notes_sender.py
+++ b/src/siskinshift/flows/notes_sender.py
@@ -1,4 +1,4 @@
-"""Carries hand-over messages between agents, one task for each peer, paced."""
+"""Sends and receives handover messages, with one rate-limited task for each peer."""
 
 from __future__ import annotations
 
@@ -29,51 +29,51 @@
 
 
 FLOW_NOTES_PATH = "/v1/flow-notes"
-CALL_TIMEOUT_SECONDS = 2.0
-# HTTP and TCP add about this much to a message.
+REQUEST_TIMEOUT_SECONDS = 2.0
+# Approximate overhead of HTTP and TCP for each message.
 OVERHEAD_BYTES = 400
-# Messages are sent again by the decisions until they are answered, so a queue that
-# is full may drop: the peer is away or the budget is spent.
+# The flow router repeats each message until it gets a reply, so a full queue may drop
+# messages: the peer is unreachable or the byte budget is exhausted.
 QUEUE_LIMIT = 64
 # A peer's task ends after this long without a message.
-IDLE_SECONDS = 5.0
+IDLE_TIMEOUT_SECONDS = 5.0
 
-# Service, kind, version or sequence, buckets: what a repeated message is known by.
-Matter: TypeAlias = tuple[str, str, int, tuple[int, ...]]
+# Identifies repeats of a message: service, kind, version or sequence, buckets.
+MessageKey: TypeAlias = tuple[str, str, int, tuple[int, ...]]
 
 
-class _Mailbox:
-    """Messages to one peer, oldest first; a repeated one takes its elder's place.
+class _PeerQueue:
+    """Messages to one peer, oldest first; a repeated message replaces the queued one.
 
-    Pattern of load: a whole service starts, the budget is spent, and the decisions
-    send again what still waits here. Without this the queue grows by copies, and
-    buckets settle many seconds late.
+    When a whole service starts, the byte budget is exhausted and the flow router
+    repeats messages that are still queued. Without the replacement the queue would fill
+    with duplicates, and claims would complete many seconds late.
     """
 
     def __init__(self) -> None:
-        self.waiting = threading.Condition()
-        self._notes_by_matter: dict[Matter, FlowNotes] = {}
+        self.changed = threading.Condition()
+        self._notes_by_key: dict[MessageKey, FlowNotes] = {}
 
     def __len__(self) -> int:
-        return len(self._notes_by_matter)
+        return len(self._notes_by_key)
 
     def put(self, notes: FlowNotes) -> bool:
-        matter = _matter_of(notes)
+        key = _message_key(notes)
         if notes.listed_buckets:
-            # Lists go in the order of their sequence: receivers refuse older ones.
-            self._notes_by_matter.pop(matter, None)
-        if matter not in self._notes_by_matter and len(self) >= QUEUE_LIMIT:
+            # Lists are sent in order of their sequence: receivers reject older ones.
+            self._notes_by_key.pop(key, None)
+        if key not in self._notes_by_key and len(self) >= QUEUE_LIMIT:
             return False
-        self._notes_by_matter[matter] = notes
+        self._notes_by_key[key] = notes
         return True
 
-    def take(self) -> FlowNotes | None:
-        if not self._notes_by_matter:
+    def pop(self) -> FlowNotes | None:
+        if not self._notes_by_key:
             return None
-        return self._notes_by_matter.pop(next(iter(self._notes_by_matter)))
+        return self._notes_by_key.pop(next(iter(self._notes_by_key)))
 
 
-def _matter_of(notes: FlowNotes) -> Matter:
+def _message_key(notes: FlowNotes) -> MessageKey:
     if notes.claimed_buckets:
         return (notes.service_id, "claim", notes.claim_version, ())
     if notes.listed_buckets:
@@ -87,12 +87,12 @@
 
 
 class NotesSender:
-    """Sends hand-over messages and hands arriving ones to the router.
+    """Sends handover messages and passes received ones to the router.
 
     Attributes:
-        sent_messages: Messages sent so far.
-        sent_bytes: Their bytes.
-        dropped_messages: Messages dropped because a queue was full.
+        sent_messages: Number of messages sent.
+        sent_bytes: Total size of the sent messages, bytes.
+        dropped_messages: Number of messages dropped because a queue was full.
     """
 
     def __init__(
@@ -104,14 +104,14 @@
         clock: Clock,
         on_notes: Callable[[FlowNotes], None],
     ) -> None:
-        """Registers the handler; nothing is sent yet.
+        """Registers the handler for received messages.
 
         Args:
             application: Owner of the tasks.
-            routes: Where message handlers are registered.
+            routes: Registry of the message handlers.
             key_ring: Keys of the deployment.
             clock: Clock of the process.
-            on_notes: Takes a message that arrived.
+            on_notes: Callback for received messages.
         """
         self.sent_messages = 0
         self.sent_bytes = 0
@@ -123,7 +123,7 @@
         self._lock = threading.Lock()
         settings = application.settings.flows
         self._budget = ByteBudget(bytes_per_second=settings.notes_bytes_per_second)
-        self._mailboxes_by_endpoint: dict[Endpoint, _Mailbox] = {}
+        self._queues_by_endpoint: dict[Endpoint, _PeerQueue] = {}
         routes.handles(FLOW_NOTES_PATH, FlowNotes)(self._receive)
 
     def send(self, action: SendNotes) -> None:
@@ -137,48 +137,48 @@
         endpoint = action.agent.control
         notes = to_differences(action.notes)
         with self._lock:
-            mailbox = self._mailboxes_by_endpoint.get(endpoint)
-            is_new = mailbox is None
-            if mailbox is None:
-                mailbox = _Mailbox()
-                self._mailboxes_by_endpoint[endpoint] = mailbox
-            with mailbox.waiting:
-                if not mailbox.put(notes):
+            queue = self._queues_by_endpoint.get(endpoint)
+            is_new = queue is None
+            if queue is None:
+                queue = _PeerQueue()
+                self._queues_by_endpoint[endpoint] = queue
+            with queue.changed:
+                if not queue.put(notes):
                     self.dropped_messages += 1
-                mailbox.waiting.notify()
+                queue.changed.notify()
         if is_new:
-            # Not under the lock: a busy process takes long to start a thread, and
-            # all that route packets or answer peers would wait for it.
-            self._application.spawn(self._send_until_idle, endpoint, mailbox)
+            # Outside the lock: starting a thread is slow in a busy process, and the
+            # threads that route packets or reply to peers would wait for it.
+            self._application.spawn(self._send_until_idle, endpoint, queue)
 
     def _receive(self, notes: FlowNotes) -> FlowNotesReceipt:
         self._on_notes(from_differences(notes))
         return FlowNotesReceipt(service_id=notes.service_id)
 
-    def _send_until_idle(self, endpoint: Endpoint, mailbox: _Mailbox) -> None:
+    def _send_until_idle(self, endpoint: Endpoint, queue: _PeerQueue) -> None:
         client = ControlClient(
-            endpoint=endpoint, key_ring=self._key_ring, timeout=CALL_TIMEOUT_SECONDS
+            endpoint=endpoint, key_ring=self._key_ring, timeout=REQUEST_TIMEOUT_SECONDS
         )
         try:
-            while (notes := self._next(endpoint, mailbox)) is not None:
+            while (notes := self._next_message(endpoint, queue)) is not None:
                 self._send_one(client, notes)
         finally:
             client.close()
 
-    def _next(self, endpoint: Endpoint, mailbox: _Mailbox) -> FlowNotes | None:
+    def _next_message(self, endpoint: Endpoint, queue: _PeerQueue) -> FlowNotes | None:
         stopping = self._application.stopping
         idle_since = self._clock()
         while not stopping.is_set():
-            with mailbox.waiting:
-                notes = mailbox.take()
+            with queue.changed:
+                notes = queue.pop()
                 if notes is not None:
                     return notes
-                mailbox.waiting.wait(0.2)
-            if self._clock() - idle_since < IDLE_SECONDS:
+                queue.changed.wait(0.2)
+            if self._clock() - idle_since < IDLE_TIMEOUT_SECONDS:
                 continue
             with self._lock:
-                if not len(mailbox):
-                    del self._mailboxes_by_endpoint[endpoint]
+                if not len(queue):
+                    del self._queues_by_endpoint[endpoint]
                     return None
         return None
 
@@ -186,15 +186,15 @@
         size = len(encode_message(notes)) + OVERHEAD_BYTES
         while True:
             with self._lock:
-                pause = self._budget.wait(now=self._clock())
-                if not pause:
+                delay = self._budget.wait(now=self._clock())
+                if not delay:
                     self._budget.take(size, now=self._clock())
                     break
-            if self._application.stopping.wait(pause):
+            if self._application.stopping.wait(delay):
                 return
         try:
             client.call(FLOW_NOTES_PATH, notes, FlowNotesReceipt)
         except (PeerUnreachableError, BadMessageError):
-            return  # The decisions send it again while it is needed.
+            return  # The flow router repeats it while it is needed.
         self.sent_messages += 1
         self.sent_bytes += size
--- a/src/siskinshift/flows/notes_writer.py
+++ b/src/siskinshift/flows/notes_writer.py
@@ -1,4 +1,4 @@
-"""Addresses and numbers the hand-over messages of an agent."""
+"""Addresses and numbers the handover messages of an agent."""
 
 from __future__ import annotations
 
@@ -14,37 +14,39 @@
     from siskinshift.messages.flows import FlowNotes
 
 
-# First pause before a claim or list is sent again; doubled up to the maximum. Long
-# against the 1 ms between instances, short against the 10 s of settle_timeout.
-RETRY_SECONDS = 0.5
-RETRY_DOUBLINGS = 3
+# First delay before a claim or list is sent again; it doubles with each attempt, up to
+# the maximum. Long compared with the 1 ms latency between instances, short compared
+# with the 10 s of settle_timeout.
+RETRY_DELAY_SECONDS = 0.5
+MAX_RETRY_DOUBLINGS = 3
 
 
 class NotesWriter:
-    """Fills in what each message says of its sender.
+    """Fills in the sender fields of each message.
 
     Attributes:
         sequence: Number of the last message.
     """
 
     def __init__(self, peers: Peers) -> None:
-        """Prepares the writer.
+        """Initializes the writer.
 
         Args:
-            peers: The agent and its peers.
+            peers: State of this agent and its peers.
         """
         self.sequence = 0
         self._peers = peers
 
     def send(self, peer_id: str, message: FlowNotes) -> list[SendNotes]:
-        """Makes the action that sends a message.
+        """Builds the action that sends a message.
 
         Args:
             peer_id: The receiver.
-            message: The message; `sender_version` 0 stands for the present view's.
+            message: The message; `sender_version` 0 stands for the version of the
+                current view.
 
         Returns:
-            The action; none when the view does not know the receiver.
+            The action; none if the receiver is not in the view.
         """
         view = self._peers.view
         assert view is not None
@@ -62,13 +64,13 @@
         return [SendNotes(peer, numbered)]
 
 
-def retry_pause(attempts: int) -> float:
-    """Gives the pause before a message is sent again.
+def retry_delay(attempts: int) -> float:
+    """Returns the delay before a message is sent again.
 
     Args:
-        attempts: Times it was sent before.
+        attempts: Number of earlier attempts.
 
     Returns:
-        Seconds.
+        The delay, seconds.
     """
-    return float(RETRY_SECONDS * (1 << min(attempts, RETRY_DOUBLINGS)))
+    return float(RETRY_DELAY_SECONDS * (1 << min(attempts, MAX_RETRY_DOUBLINGS)))
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -1,4 +1,7 @@
-"""Decides at an agent what becomes of each envelope. No I/O, no clock."""
+"""Routes envelopes at an agent: delivers, forwards, holds or drops them.
+
+The module does no I/O and reads no clock; callers pass the time in.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from siskinshift.flows.actions import DeliverToFlow
 from siskinshift.flows.actions import DropEnvelope
 from siskinshift.flows.actions import ForwardToAgent
-from siskinshift.flows.hand_over import HandOver
+from siskinshift.flows.hand_over import FlowHandover
 from siskinshift.flows.held_packets import HeldPackets
 from siskinshift.messages.core import MemberState
 from siskinshift.routing.buckets import bucket_of
@@ -28,36 +31,36 @@
     from siskinshift.settings.generated import FlowsSettings
 
 
-# An agent that gives buckets away goes on to create flows this long, until its
-# successor has claimed them: without it, new callers wait for the successor's view.
-# A leaving agent gives its last bucket away after shift_duration (1.5 s); together
-# they stay below the 3 s after which it must take no new flow.
-GRACE_SECONDS = 1.0
-# An ended flow stays with its owner this long, so that a late copy of its last
-# packet does not begin it anew elsewhere.
+# After a bucket has a new primary, the old one still creates flows for this long, so
+# that new callers need not wait until the new primary has received its view. A
+# leaving agent loses its last bucket after shift_duration (1.5 s); the sum stays
+# below the 3 s after which a leaving agent must not accept new flows.
+CREATION_GRACE_SECONDS = 1.0
+# An ended flow remains owned for this long, so that a late duplicate of its last
+# packet does not create the flow again on another agent.
 LINGER_SECONDS = 3.0
-# A process that stood still longer than this may have been counted as gone, and its
-# buckets settled by peers, without knowing: it would go on to create flows that they
-# own. Ticks come every 50 ms; peers wait 2 s before they count a member as gone.
-PAUSE_SECONDS = 1.0
+# After a longer gap between ticks, peers may have declared this process gone and
+# completed claims of its buckets, so it must not create flows under its old claims.
+# Ticks run every 50 ms; peers declare a member gone after 2 s.
+MAX_TICK_GAP_SECONDS = 1.0
 
 
 class FlowRouter:
-    """Owns the truth about the flows of one agent."""
+    """Tracks the flows that one agent owns and routes their packets."""
 
     def __init__(
         self, *, member_id: str, incarnation: int, settings: FlowsSettings
     ) -> None:
-        """Prepares a router without a view.
+        """Initializes the router without a view.
 
         Args:
             member_id: The agent's own id.
             incarnation: The agent's own incarnation.
-            settings: Times and bounds.
+            settings: Timeouts and limits of the flow layer.
         """
         self._member_id = member_id
         self._settings = settings
-        self._hand_over = HandOver(
+        self._handover = FlowHandover(
             member_id=member_id, incarnation=incarnation, settings=settings
         )
         self._held = HeldPackets(
@@ -65,153 +68,156 @@
         )
         self._flow_count = 0
         self._ticked_at: float | None = None
-        self._lingering_until_by_flow: OrderedDict[int, float] = OrderedDict()
+        self._linger_expiry_by_flow: OrderedDict[int, float] = OrderedDict()
 
     def update(self, view: View, *, now: float) -> list[FlowAction]:
-        """Takes a new view.
+        """Applies a new view.
 
         Args:
-            view: The view that decides from now on.
+            view: The view to route by from now on.
             now: Clock reading, seconds.
 
         Returns:
-            Notes to send, and held packets that may go on.
+            Notes to send, and actions for held packets that were released.
         """
-        self._notice_pause(now=now)
-        return [*self._hand_over.update(view, now=now), *self._release(now=now)]
+        self._detect_pause(now=now)
+        return [*self._handover.update(view, now=now), *self._route_released(now=now)]
 
     def on_envelope(self, envelope: Envelope, *, now: float) -> list[FlowAction]:
-        """Takes an envelope from a balancer or a peer.
+        """Routes an envelope from a balancer or a peer.
 
         Args:
-            envelope: The envelope, authenticated.
+            envelope: The authenticated envelope.
             now: Clock reading, seconds.
 
         Returns:
-            What to do with it.
+            The actions to carry out.
         """
-        self._notice_pause(now=now)
+        self._detect_pause(now=now)
         packet = envelope.packet
-        view = self._hand_over.view
+        view = self._handover.view
         if view is None:
             return [DropEnvelope(ErrorKind.NO_MEMBER)]
         service = view.services_by_address.get(packet.service_address)
         if service is None:
-            # An agent holds the records of its own services only, so an address
-            # that it doesn't know belongs to another service.
+            # An agent stores the records of its own services only, so an unknown
+            # address belongs to another service.
             return [DropEnvelope(ErrorKind.WRONG_SERVICE)]
-        state = self._hand_over.services_by_id.get(service.service_id)
+        state = self._handover.services_by_id.get(service.service_id)
         if state is None or state.table is None:
             return [DropEnvelope(ErrorKind.WRONG_SERVICE)]
         digest = flow_hash(caller=packet.caller, service_address=packet.service_address)
         return self._route(state, digest, envelope, now=now)
 
     def on_notes(self, notes: FlowNotes, *, now: float) -> list[FlowAction]:
-        """Takes notes of a peer.
+        """Handles notes from a peer.
 
         Args:
             notes: The message.
             now: Clock reading, seconds.
 
         Returns:
-            Notes to send, and held packets that may go on.
+            Notes to send, and actions for held packets that were released.
         """
-        self._notice_pause(now=now)
-        return [*self._hand_over.on_notes(notes, now=now), *self._release(now=now)]
+        self._detect_pause(now=now)
+        return [
+            *self._handover.on_notes(notes, now=now),
+            *self._route_released(now=now),
+        ]
 
     def flow_ended(self, digest: int, *, now: float) -> list[FlowAction]:
-        """Takes note that a flow has ended; it is forgotten a little later.
+        """Marks a flow as ended; it is removed after `LINGER_SECONDS`.
 
         Args:
             digest: Hash of the flow.
             now: Clock reading, seconds.
 
         Returns:
-            Nothing yet; notes are taken back from `tick`.
+            No actions; `tick` retracts the notes.
         """
-        if self._find(digest) is not None:
-            self._lingering_until_by_flow[digest] = now + LINGER_SECONDS
-            self._lingering_until_by_flow.move_to_end(digest)
+        if self._find_service_flows(digest) is not None:
+            self._linger_expiry_by_flow[digest] = now + LINGER_SECONDS
+            self._linger_expiry_by_flow.move_to_end(digest)
         return []
 
     def tick(self, *, now: float) -> list[FlowAction]:
-        """Lets time pass.
+        """Runs the timers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            What has become due.
+            The actions that are due.
         """
-        self._notice_pause(now=now)
+        self._detect_pause(now=now)
         self._ticked_at = now
         self._end_lingering(now=now)
-        actions: list[FlowAction] = [*self._hand_over.tick(now=now)]
-        actions += self._release(now=now)
+        actions: list[FlowAction] = [*self._handover.tick(now=now)]
+        actions += self._route_released(now=now)
         dropped = self._held.expire(now=now)
         actions += [DropEnvelope(ErrorKind.HELD_TOO_LONG)] * dropped
         return actions
 
     def service_of(self, digest: int) -> str:
-        """Names the service of an owned flow.
+        """Returns the service of an owned flow.
 
         Args:
             digest: Hash of the flow.
 
         Returns:
-            Service id, or an empty text when the flow is not owned.
+            The service id, or an empty string if the flow is not owned.
         """
-        state = self._find(digest)
+        state = self._find_service_flows(digest)
         return state.service_id if state is not None else ""
 
     @property
     def flow_count(self) -> int:
-        """Flows owned, ended ones that linger included."""
+        """Number of owned flows, including ended flows that still linger."""
         return self._flow_count
 
     @property
     def note_count(self) -> int:
-        """Notes held."""
-        return self._hand_over.note_count()
+        """Number of stored notes."""
+        return self._handover.note_count()
 
     @property
     def held_count(self) -> int:
-        """Packets held."""
+        """Number of held packets."""
         return len(self._held)
 
     @property
     def pending_count(self) -> int:
-        """Lists that are not accepted yet."""
-        return self._hand_over.pending_count()
+        """Number of flow lists that primaries have not accepted yet."""
+        return self._handover.pending_count()
 
-    def _notice_pause(self, *, now: float) -> None:
-        if self._ticked_at is not None and now - self._ticked_at > PAUSE_SECONDS:
+    def _detect_pause(self, *, now: float) -> None:
+        if self._ticked_at is not None and now - self._ticked_at > MAX_TICK_GAP_SECONDS:
             self._ticked_at = now
-            self._hand_over.notice_pause(now=now)
+            self._handover.on_pause(now=now)
 
-    def _find(self, digest: int) -> ServiceFlows | None:
-        for state in self._hand_over.services_by_id.values():
+    def _find_service_flows(self, digest: int) -> ServiceFlows | None:
+        for state in self._handover.services_by_id.values():
             if state.owns(digest):
                 return state
         return None
 
     def _end_lingering(self, *, now: float) -> None:
-        while self._lingering_until_by_flow:
-            digest, until = next(iter(self._lingering_until_by_flow.items()))
-            if until > now:
+        while self._linger_expiry_by_flow:
+            digest, expires_at = next(iter(self._linger_expiry_by_flow.items()))
+            if expires_at > now:
                 return
             self._forget_flow(digest, now=now)
 
     def _forget_flow(self, digest: int, *, now: float) -> None:
-        self._lingering_until_by_flow.pop(digest, None)
-        state = self._find(digest)
+        self._linger_expiry_by_flow.pop(digest, None)
+        state = self._find_service_flows(digest)
         if state is not None:
-            self._hand_over.flow_ended(state, digest, now=now)
+            self._handover.flow_ended(state, digest, now=now)
             self._flow_count -= 1
 
-    def _release(self, *, now: float) -> list[FlowAction]:
+    def _route_released(self, *, now: float) -> list[FlowAction]:
         actions: list[FlowAction] = []
-        for state in tuple(self._hand_over.services_by_id.values()):
+        for state in tuple(self._handover.services_by_id.values()):
             releases, state.released = state.released, []
             for release in releases:
                 flows = set(release.flows) if release.flows is not None else None
@@ -226,10 +232,10 @@
     ) -> list[FlowAction]:
         claim = state.claims_by_bucket.get(bucket_of(digest))
         if state.owns(digest):
-            if digest not in self._lingering_until_by_flow:
+            if digest not in self._linger_expiry_by_flow:
                 return [self._deliver(state, digest, envelope)]
             if claim is not None and self._may_create(claim, now=now):
-                del self._lingering_until_by_flow[digest]
+                del self._linger_expiry_by_flow[digest]
                 return [self._deliver(state, digest, envelope, is_new=True)]
             self._forget_flow(digest, now=now)
         if envelope.exhausted:
@@ -237,9 +243,9 @@
         if envelope.disclaimed and claim is not None:
             return self._on_disclaimer(state, claim, digest, envelope, now=now)
         if envelope.disclaimed:
-            envelope = _without_question(envelope)
+            envelope = _without_query(envelope)
         if claim is None:
-            return self._pass_to_primary(state, digest, envelope)
+            return self._forward_to_primary(state, digest, envelope)
         return self._route_with_claim(state, claim, digest, envelope, now=now)
 
     def _route_with_claim(
@@ -253,31 +259,31 @@
     ) -> list[FlowAction]:
         owner_id = claim.owners_by_flow.get(digest)
         if owner_id is not None and owner_id != envelope.asker_id:
-            if claim.settled and digest in claim.permitted:
-                # The permission may be on its way still, or be lost.
+            if claim.is_complete and digest in claim.permitted:
+                # The permission may still be in flight, or lost.
                 version = claim.versions_by_flow[digest]
                 return self._permit(claim, digest, envelope, owner_id, version)
-            return self._ask(owner_id, state, digest, envelope, now=now)
-        if claim.settled:
+            return self._query(owner_id, state, digest, envelope, now=now)
+        if claim.is_complete:
             asker_id = envelope.asker_id
-            if asker_id and not self._hand_over.is_live(asker_id):
-                # The note would go with the peer that counts as gone, and another
-                # agent would create the flow as well.
+            if asker_id and not self._handover.is_live(asker_id):
+                # The note would be dropped together with the gone peer, and another
+                # agent would create the flow a second time.
                 return [DropEnvelope(ErrorKind.NO_MEMBER)]
             if asker_id:
                 version = envelope.view_version
                 return self._permit(claim, digest, envelope, asker_id, version)
             if self._may_create(claim, now=now):
                 return self._create(state, digest, envelope)
-            return self._pass_to_primary(state, digest, envelope)
+            return self._forward_to_primary(state, digest, envelope)
         if claim.left_at is not None:
-            return self._pass_to_primary(state, digest, envelope)
-        # A question of a peer becomes our own: an answer that says "not mine" would
-        # be wrong once a permission arrives that is on its way to us.
-        if self._can_ask_previous(claim) and claim.previous_id != envelope.asker_id:
-            return self._ask(claim.previous_id, state, digest, envelope, now=now)
-        plain = _without_question(envelope)
-        return self._hold(state, digest, plain, now=now)
+            return self._forward_to_primary(state, digest, envelope)
+        # Queries the previous primary in this agent's name: a disclaimer sent to the
+        # querying peer would become wrong if a permission is in flight to this agent.
+        if self._can_query_previous(claim) and claim.previous_id != envelope.asker_id:
+            return self._query(claim.previous_id, state, digest, envelope, now=now)
+        plain_envelope = _without_query(envelope)
+        return self._hold(state, digest, plain_envelope, now=now)
 
     def _on_permission(
         self,
@@ -288,8 +294,8 @@
         *,
         now: float,
     ) -> list[FlowAction]:
-        # The claim must be the one the question was asked under: in a later one
-        # the answer is old, and another agent may have created the flow since.
+        # The claim must be the one that the query was sent under: under a later claim
+        # the reply is stale, and another agent may have created the flow since.
         if (
             claim is None
             or claim.left_at is not None
@@ -297,11 +303,11 @@
         ):
             return self._disclaim(envelope, version=envelope.view_version)
         owner_id = claim.owners_by_flow.get(digest, envelope.asker_id)
-        if owner_id == envelope.asker_id and not claim.settled:
+        if owner_id == envelope.asker_id and not claim.is_complete:
             claim.forget(digest)
             return self._create(state, digest, envelope)
-        plain = _without_question(envelope)
-        return self._route_with_claim(state, claim, digest, plain, now=now)
+        plain_envelope = _without_query(envelope)
+        return self._route_with_claim(state, claim, digest, plain_envelope, now=now)
 
     def _on_disclaimer(
         self,
@@ -312,24 +318,24 @@
         *,
         now: float,
     ) -> list[FlowAction]:
-        plain = _without_question(envelope)
+        plain_envelope = _without_query(envelope)
         known_version = claim.versions_by_flow.get(digest, -1)
         if claim.owners_by_flow.get(digest) == envelope.asker_id:
             if known_version <= envelope.view_version:
                 claim.forget(digest)
-        elif not claim.settled and claim.left_at is None:
-            return self._hold(state, digest, plain, now=now)
-        return self._route_with_claim(state, claim, digest, plain, now=now)
+        elif not claim.is_complete and claim.left_at is None:
+            return self._hold(state, digest, plain_envelope, now=now)
+        return self._route_with_claim(state, claim, digest, plain_envelope, now=now)
 
     def _may_create(self, claim: Claim, *, now: float) -> bool:
-        if not claim.settled:
+        if not claim.is_complete:
             return False
-        return claim.left_at is None or now < claim.left_at + GRACE_SECONDS
+        return claim.left_at is None or now < claim.left_at + CREATION_GRACE_SECONDS
 
-    def _can_ask_previous(self, claim: Claim) -> bool:
-        view = self._hand_over.view
+    def _can_query_previous(self, claim: Claim) -> bool:
+        view = self._handover.view
         assert view is not None
-        if claim.previous_id not in claim.pending:
+        if claim.previous_id not in claim.pending_peer_ids:
             return False
         previous = view.members_by_id.get(claim.previous_id)
         return previous is not None and previous.state is not MemberState.GONE
@@ -361,31 +367,31 @@
         owner_id: str,
         version: int,
     ) -> list[FlowAction]:
-        if self._hand_over.note_count() >= self._settings.note_limit:
+        if self._handover.note_count() >= self._settings.note_limit:
             return [DropEnvelope(ErrorKind.FLOW_LIMIT)]
         # From here on this agent follows the note: no second agent gets the flow.
         claim.permit(digest, owner_id, version)
-        answer = attrs.evolve(
+        reply = attrs.evolve(
             envelope,
             asker_id=self._member_id,
             view_version=version,
             exhausted=True,
             disclaimed=False,
         )
-        return self._forward(owner_id, answer)
+        return self._forward(owner_id, reply)
 
     def _disclaim(self, envelope: Envelope, *, version: int) -> list[FlowAction]:
-        # Holds for all questions up to that version of this agent's view.
-        answer = attrs.evolve(
+        # Valid for all queries up to that version of this agent's view.
+        reply = attrs.evolve(
             envelope,
             asker_id=self._member_id,
             view_version=version,
             exhausted=False,
             disclaimed=True,
         )
-        return self._forward(envelope.asker_id, answer)
+        return self._forward(envelope.asker_id, reply)
 
-    def _ask(
+    def _query(
         self,
         agent_id: str,
         state: ServiceFlows,
@@ -394,21 +400,21 @@
         *,
         now: float,
     ) -> list[FlowAction]:
-        view = self._hand_over.view
+        view = self._handover.view
         assert view is not None
         if agent_id not in view.members_by_id:
             return self._hold(state, digest, envelope, now=now)
-        question = attrs.evolve(
+        query = attrs.evolve(
             envelope, asker_id=self._member_id, view_version=view.version
         )
-        return self._forward(agent_id, question)
+        return self._forward(agent_id, query)
 
-    def _pass_to_primary(
+    def _forward_to_primary(
         self, state: ServiceFlows, digest: int, envelope: Envelope
     ) -> list[FlowAction]:
         primary_id = state.primary_id_of(bucket_of(digest))
         if envelope.asker_id and primary_id in ("", envelope.asker_id):
-            view = self._hand_over.view
+            view = self._handover.view
             assert view is not None
             return self._disclaim(envelope, version=view.version)
         if primary_id in ("", self._member_id):
@@ -416,15 +422,15 @@
         return self._forward(primary_id, envelope)
 
     def _forward(self, agent_id: str, envelope: Envelope) -> list[FlowAction]:
-        view = self._hand_over.view
+        view = self._handover.view
         assert view is not None
         agent = view.members_by_id.get(agent_id)
         if agent is None:
             return [DropEnvelope(ErrorKind.NO_MEMBER)]
         if envelope.hop_count >= self._settings.max_hops:
             return [DropEnvelope(ErrorKind.HOP_LIMIT)]
-        onward = attrs.evolve(envelope, hop_count=envelope.hop_count + 1)
-        return [ForwardToAgent(agent, onward)]
+        forwarded = attrs.evolve(envelope, hop_count=envelope.hop_count + 1)
+        return [ForwardToAgent(agent, forwarded)]
 
     def _hold(
         self, state: ServiceFlows, digest: int, envelope: Envelope, *, now: float
@@ -439,5 +445,5 @@
         return [] if held else [DropEnvelope(ErrorKind.HELD_TOO_LONG)]
 
 
-def _without_question(envelope: Envelope) -> Envelope:
+def _without_query(envelope: Envelope) -> Envelope:
     return attrs.evolve(envelope, asker_id="", exhausted=False, disclaimed=False)
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -1,4 +1,4 @@
-"""What an agent holds about the flows of one service."""
+"""State of one service's flows at an agent."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 @frozen
-class WantedClaim:
-    """A peer's claim that the agent's own view does not agree with yet.
+class PeerClaim:
+    """A peer's claim of buckets, stored until the agent's view agrees with it.
 
     Attributes:
-        claimant_id: The peer.
-        incarnation: Its incarnation.
+        claimant_id: Member id of the peer.
+        incarnation: Incarnation of the peer.
         version: Version of the claim.
     """
 
@@ -29,43 +29,43 @@
 
 @frozen
 class GrantedFlow:
-    """A flow that the agent let a peer create, kept after it gave up the bucket.
+    """A flow that a peer was permitted to create, kept after the bucket has moved.
 
     Attributes:
-        owner_id: The peer.
-        version: Version of the peer's view when it asked.
-        until: When to forget it, seconds.
+        owner_id: Member id of the peer.
+        version: Version of the peer's view when it sent the query.
+        expires_at: Clock reading when the record expires, seconds.
     """
 
     owner_id: str
     version: int
-    until: float
+    expires_at: float
 
 
 @define(eq=False)
-class UnsentList:
-    """The list of a bucket that its primary has not accepted yet.
+class PendingList:
+    """A list of a bucket that the primary has not accepted yet.
 
     Attributes:
-        due_at: When to send it (again), seconds.
-        sequence: Message it was last sent with; 0 when it has changed since.
-        attempts: Times it was sent.
-        takes_back: Whether a flow has ended that the primary may hold a note about.
+        due_at: Clock reading of the next attempt, seconds.
+        sequence: Number of the last message with it; 0 if it has changed since.
+        attempts: Number of attempts so far.
+        retracts_flows: Whether the primary may have a note about an ended flow.
     """
 
     due_at: float
     sequence: int = 0
     attempts: int = 0
-    takes_back: bool = False
+    retracts_flows: bool = False
 
 
 @frozen
 class ReleasedBucket:
-    """A bucket whose held packets may go on.
+    """A bucket whose held packets can be routed.
 
     Attributes:
         bucket: The bucket.
-        flows: Flows that became known; None for all.
+        flows: Flows whose owner is known now; None for all.
     """
 
     bucket: int
@@ -78,50 +78,50 @@
 
     Attributes:
         service_id: The service.
-        table: Bucket table of the agent's present view; None before the first.
+        table: Bucket table of the agent's current view; None before the first.
         flows_by_bucket: Hashes of the flows that the agent owns.
         claims_by_bucket: Buckets that the agent is or was primary of.
-        unsettled: Buckets with a claim that is not settled.
-        wanted_by_bucket: Claims of peers to confirm once the view agrees.
-        granted_by_bucket: Recent permissions in buckets that were given up.
-        given_by_bucket: Peers whose claims were confirmed lately, with the time.
-        unsent_by_bucket: Lists that primaries have not accepted yet.
-        ask_at_by_peer: When to claim from a peer (again), seconds.
-        asked_by_peer: Times a peer was asked in vain.
-        ask_idle_until: Nothing is to be asked before, seconds.
-        released: Buckets whose held packets may go on.
-        doubted_bucket: Bucket whose notes were audited last in turn.
+        incomplete_buckets: Buckets with an incomplete claim.
+        peer_claims_by_bucket: Claims of peers that the view does not agree with yet.
+        granted_by_bucket: Recent permissions in relinquished buckets, by flow.
+        confirmations_by_bucket: Times of recent confirmations, by claiming peer.
+        pending_lists_by_bucket: Lists that primaries have not accepted yet.
+        request_at_by_peer: Clock readings of the next requests, seconds.
+        attempts_by_peer: Number of requests to a peer since its last confirmation.
+        requests_idle_until: No requests are sent before, seconds.
+        released: Buckets whose held packets can be routed.
+        last_audited_bucket: Last bucket that the periodic audit selected.
     """
 
     service_id: str
     table: BucketTable | None = None
     flows_by_bucket: dict[int, set[int]] = Factory(dict)
     claims_by_bucket: dict[int, Claim] = Factory(dict)
-    unsettled: set[int] = Factory(set)
-    wanted_by_bucket: dict[int, WantedClaim] = Factory(dict)
+    incomplete_buckets: set[int] = Factory(set)
+    peer_claims_by_bucket: dict[int, PeerClaim] = Factory(dict)
     granted_by_bucket: dict[int, dict[int, GrantedFlow]] = Factory(dict)
-    given_by_bucket: dict[int, dict[str, float]] = Factory(dict)
-    unsent_by_bucket: dict[int, UnsentList] = Factory(dict)
-    ask_at_by_peer: dict[str, float] = Factory(dict)
-    asked_by_peer: dict[str, int] = Factory(dict)
-    ask_idle_until: float = 0.0
+    confirmations_by_bucket: dict[int, dict[str, float]] = Factory(dict)
+    pending_lists_by_bucket: dict[int, PendingList] = Factory(dict)
+    request_at_by_peer: dict[str, float] = Factory(dict)
+    attempts_by_peer: dict[str, int] = Factory(dict)
+    requests_idle_until: float = 0.0
     released: list[ReleasedBucket] = Factory(list)
-    doubted_bucket: int = -1
+    last_audited_bucket: int = -1
 
     def owns(self, digest: int) -> bool:
-        """Says whether the agent owns a flow.
+        """Returns whether the agent owns a flow.
 
         Args:
             digest: Hash of the flow.
 
         Returns:
-            Whether it does.
+            Whether the flow is owned.
         """
         flows = self.flows_by_bucket.get(bucket_of(digest))
         return flows is not None and digest in flows
 
     def add_flow(self, digest: int) -> None:
-        """Records an own flow.
+        """Adds an owned flow.
 
         Args:
             digest: Hash of the flow.
@@ -129,7 +129,7 @@
         self.flows_by_bucket.setdefault(bucket_of(digest), set()).add(digest)
 
     def remove_flow(self, digest: int) -> None:
-        """Forgets an own flow.
+        """Removes an owned flow.
 
         Args:
             digest: Hash of the flow.
@@ -141,30 +141,30 @@
             del self.flows_by_bucket[bucket]
 
     def primary_id_of(self, bucket: int) -> str:
-        """Names the primary of a bucket in the agent's present view.
+        """Returns the primary of a bucket in the agent's current view.
 
         Args:
             bucket: The bucket.
 
         Returns:
-            Its member id; empty when there is none.
+            The member id; empty if there is no primary.
         """
         agent = self.table.primary_of(bucket) if self.table else None
         return agent.member_id if agent else ""
 
-    def ask_soon(self, peer_id: str, *, now: float) -> None:
-        """Lets the next claim to a peer go at once.
+    def request_soon(self, peer_id: str, *, now: float) -> None:
+        """Makes the next request to a peer due at once.
 
         Args:
             peer_id: The peer.
             now: Clock reading, seconds.
         """
-        self.ask_at_by_peer[peer_id] = now
-        self.ask_idle_until = now
-        self.asked_by_peer[peer_id] = 0
+        self.request_at_by_peer[peer_id] = now
+        self.requests_idle_until = now
+        self.attempts_by_peer[peer_id] = 0
 
     def forget_owner(self, owner_id: str) -> None:
-        """Drops all notes about an owner that is gone.
+        """Drops all notes about the flows of an owner that is gone.
 
         Args:
             owner_id: The owner.
@@ -173,7 +173,7 @@
             claim.forget_owner(owner_id)
 
     def forget_listed(self, owner_id: str) -> None:
-        """Drops the notes that an owner told itself, because it has started anew.
+        """Drops the notes from the lists of an owner that has restarted.
 
         Args:
             owner_id: The owner.
@@ -182,29 +182,29 @@
             claim.forget_listed(owner_id)
 
     def note_count(self) -> int:
-        """Counts the notes held.
+        """Counts the stored notes.
 
         Returns:
-            Their number.
+            The number of notes.
         """
         return sum(len(c.owners_by_flow) for c in self.claims_by_bucket.values())
 
     def flow_count(self) -> int:
-        """Counts own flows.
+        """Counts the owned flows.
 
         Returns:
-            Their number.
+            The number of flows.
         """
         return sum(map(len, self.flows_by_bucket.values()))
 
-    def has_news(self, bucket: int) -> bool:
-        """Says whether a list of a bucket would say anything.
+    def has_list_content(self, bucket: int) -> bool:
+        """Returns whether the list of a bucket would have any content.
 
         Args:
             bucket: The bucket.
 
         Returns:
-            Whether the agent owns flows there or let peers create some lately.
+            Whether the agent owns flows there or recently permitted some to peers.
         """
         return bucket in self.flows_by_bucket or bucket in self.granted_by_bucket
 
