--- a/src/siskinshift/flows/hand_over.py
+++ b/src/siskinshift/flows/hand_over.py
@@ -210,7 +210,7 @@
         """
         return sum(state.note_count() for state in self.services_by_id.values())
 
-    def pending_count(self) -> int:
+    def pending_list_count(self) -> int:
         """Counts the flow lists that primaries have not accepted yet.
 
         Returns:
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -186,9 +186,9 @@
         return len(self._held)
 
     @property
-    def pending_count(self) -> int:
+    def pending_list_count(self) -> int:
         """Number of flow lists that primaries have not accepted yet."""
-        return self._handover.pending_count()
+        return self._handover.pending_list_count()
 
     def _detect_pause(self, *, now: float) -> None:
         if self._ticked_at is not None and now - self._ticked_at > MAX_TICK_GAP_SECONDS:
