--- a/src/siskinshift/flows/hand_over.py
+++ b/src/siskinshift/flows/hand_over.py
@@ -7,6 +7,9 @@
 request to the previous primary is sent last, so that at any time some agent may
 create flows.
 
+A note is the record at a primary of a flow's owner. It comes from the owner's list, or
+from the permission for a peer to create the flow.
+
 See docs/design/flow-hand-over.md for the alternatives that were considered.
 """
 
