--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -26,7 +26,7 @@
 from siskinshift.connections.peer_messages import Load
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.peer_messages import Verdict
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.routes import ConnectionRoute
 from siskinshift.connections.routes import RouteTable
 from siskinshift.connections.routes import Target
@@ -222,7 +222,7 @@
         name="editor",
         address=SERVICE_ADDRESS,
         targets=(Target("editor", 1),),
-        terms=Terms(objective=0.1, deadline=0.5, urgency=1),
+        terms=RequestParameters(objective=0.1, deadline=0.5, urgency=1),
         is_single=False,
     )
     return RouteTable(version=1, routes_by_address={SERVICE_ADDRESS: route})
--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -46,7 +46,7 @@
     from siskinshift.connections.owned_flow import RestoredFlow
     from siskinshift.connections.peer_messages import Forward
     from siskinshift.connections.peer_messages import Question
-    from siskinshift.connections.request_queue import Terms
+    from siskinshift.connections.request_queue import RequestParameters
     from siskinshift.connections.upstream_life import UpstreamLife
     from siskinshift.observability.event_log import EventLog
 
@@ -420,7 +420,7 @@
         return [ResetCaller(segment.flow, acknowledged)]
 
     def _note_caller_packet(
-        self, flow: OwnedFlow, segment: Segment, terms: Terms, *, now: float
+        self, flow: OwnedFlow, segment: Segment, terms: RequestParameters, *, now: float
     ) -> bool:
         """Takes note of a packet; says whether it goes to the upstream now."""
         flow.used_at = now
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -11,7 +11,7 @@
 from siskinshift.connections.owner_search import OwnerSearch
 from siskinshift.connections.peer_messages import NO_TERMS
 from siskinshift.connections.peer_messages import Verdict
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
     opening: bytes = b""
     opened_at: float = 0.0
     attempts: list[Attempt] = Factory(list)
-    terms: Terms = NO_TERMS
+    terms: RequestParameters = NO_TERMS
     search: OwnerSearch | None = None
     acknowledged: int = 0
     owned_header: bytes = b""
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -29,7 +29,7 @@
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.peer_messages import WarmUpRate
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.segment import FLOW_SIZE
 from siskinshift.control.documents import encode_json
 from siskinshift.control.documents import parse_table
@@ -89,7 +89,10 @@
 
 
 def encode_forward(
-    purpose: Purpose, service_tag: int, datagram: bytes, terms: Terms = NO_TERMS
+    purpose: Purpose,
+    service_tag: int,
+    datagram: bytes,
+    terms: RequestParameters = NO_TERMS,
 ) -> bytes:
     """Writes a packet for an agent.
 
@@ -292,7 +295,9 @@
     )
     if purpose < 1:
         raise ValueError(purpose)
-    terms = Terms(objective_ms / _MILLISECONDS, deadline_ms / _MILLISECONDS, urgency)
+    terms = RequestParameters(
+        objective_ms / _MILLISECONDS, deadline_ms / _MILLISECONDS, urgency
+    )
     packet = datagram[_FORWARD_HEADER.size :]
     return Forward(_PURPOSES[purpose - 1], service_tag, packet, terms)
 
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -8,11 +8,11 @@
 from attrs import frozen
 
 from siskinshift.connections.evacuations import Evacuations
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.messages.core import Member
 
 
-NO_TERMS = Terms()
+NO_TERMS = RequestParameters()
 
 
 class Purpose(IntEnum):
@@ -60,7 +60,7 @@
     purpose: Purpose
     service_tag: int
     datagram: bytes
-    terms: Terms = NO_TERMS
+    terms: RequestParameters = NO_TERMS
 
 
 @frozen
--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -56,7 +56,7 @@
 
 
 @frozen
-class Terms:
+class RequestParameters:
     """What callers on a route want.
 
     Attributes:
@@ -83,7 +83,7 @@
 
     flow: bytes
     arrived_at: float
-    terms: Terms
+    terms: RequestParameters
     packets: dict[int, bytes] = Factory(dict)
 
     @property
@@ -127,7 +127,13 @@
         return flow in self._started_at_by_flow
 
     def begin(
-        self, flow: bytes, seq: int, packet: bytes, terms: Terms, *, now: float
+        self,
+        flow: bytes,
+        seq: int,
+        packet: bytes,
+        terms: RequestParameters,
+        *,
+        now: float,
     ) -> bool:
         """Takes the first packet of a request, or a further one of a waiting request.
 
--- a/src/siskinshift/connections/routes.py
+++ b/src/siskinshift/connections/routes.py
@@ -9,7 +9,7 @@
 from attrs import Factory
 from attrs import frozen
 
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 
 
 _TAG_MASK = 0xFFFFFFFF
@@ -43,7 +43,7 @@
     name: str
     address: bytes
     targets: tuple[Target, ...]
-    terms: Terms
+    terms: RequestParameters
     is_single: bool
 
     @property
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from siskinshift.connections.peer_codec import WARM_UP_RATE_MAXIMUM
-from siskinshift.connections.request_queue import Terms
+from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.routes import ConnectionRoute
 from siskinshift.connections.routes import RouteTable
 from siskinshift.connections.routes import Target
@@ -80,7 +80,7 @@
         name=text_of(route, "name"),
         address=_decode_address(route),
         targets=_decode_targets(route),
-        terms=Terms(
+        terms=RequestParameters(
             objective=_seconds_of(route, "target-latency-ms"),
             deadline=_seconds_of(route, "timeout-ms"),
             urgency=whole_of(route, "priority"),
