--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -47,7 +47,7 @@
     from siskinshift.connections.peer_messages import Forward
     from siskinshift.connections.peer_messages import Question
     from siskinshift.connections.request_queue import RequestParameters
-    from siskinshift.connections.upstream_life import UpstreamLife
+    from siskinshift.connections.upstream_life import UpstreamState
     from siskinshift.observability.event_log import EventLog
 
 
@@ -66,7 +66,7 @@
         upstream_heard_at: When the upstream last sent a packet, seconds.
     """
 
-    def __init__(self, *, life: UpstreamLife, log: EventLog) -> None:
+    def __init__(self, *, life: UpstreamState, log: EventLog) -> None:
         """Starts without any flow.
 
         Args:
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -32,7 +32,7 @@
 from siskinshift.connections.upstream_life import EndNotice
 from siskinshift.connections.upstream_life import Heartbeat
 from siskinshift.connections.upstream_life import HeartbeatEffect
-from siskinshift.connections.upstream_life import UpstreamLife
+from siskinshift.connections.upstream_life import UpstreamState
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
@@ -88,7 +88,7 @@
         super().__init__(settings, role=Role.AGENT)
         assert settings.upstream is not None
         assert settings.upstream_outlet is not None
-        self.life = UpstreamLife(
+        self.life = UpstreamState(
             service_id=settings.service_id,
             heartbeat_interval=settings.heartbeat_interval,
         )
--- a/src/siskinshift/connections/upstream_life.py
+++ b/src/siskinshift/connections/upstream_life.py
@@ -76,7 +76,7 @@
     IGNORED = auto()
 
 
-class UpstreamLife:
+class UpstreamState:
     """The upstream's incarnation and state.
 
     Attributes:
