--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -47,7 +47,7 @@
     from siskinshift.connections.peer_messages import Forward
     from siskinshift.connections.peer_messages import Question
     from siskinshift.connections.request_queue import RequestParameters
-    from siskinshift.connections.upstream_life import UpstreamState
+    from siskinshift.connections.upstream_state import UpstreamState
     from siskinshift.observability.event_log import EventLog
 
 
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -29,10 +29,10 @@
 from siskinshift.connections.registration import role_prefix
 from siskinshift.connections.snapshot_upload import SnapshotUpload
 from siskinshift.connections.snapshot_writer import writer_of
-from siskinshift.connections.upstream_life import EndNotice
-from siskinshift.connections.upstream_life import Heartbeat
-from siskinshift.connections.upstream_life import HeartbeatEffect
-from siskinshift.connections.upstream_life import UpstreamState
+from siskinshift.connections.upstream_state import EndNotice
+from siskinshift.connections.upstream_state import Heartbeat
+from siskinshift.connections.upstream_state import HeartbeatEffect
+from siskinshift.connections.upstream_state import UpstreamState
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
--- a/src/siskinshift/connections/first_start.py
+++ b/src/siskinshift/connections/first_start.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from siskinshift.connections.incarnation import Incarnation
-    from siskinshift.connections.upstream_life import Heartbeat
+    from siskinshift.connections.upstream_state import Heartbeat
 
 
 class FirstStart:
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -7,8 +7,8 @@
 
 from siskinshift.connections.incarnation import Incarnation
 from siskinshift.connections.member_documents import SLOTS_MAXIMUM
-from siskinshift.connections.upstream_life import EndNotice
-from siskinshift.connections.upstream_life import Heartbeat
+from siskinshift.connections.upstream_state import EndNotice
+from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_table
 from siskinshift.control.documents import text_of
--- a/tests/connections/builders.py
+++ b/tests/connections/builders.py
@@ -24,8 +24,8 @@
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
 from siskinshift.connections.segment import pack_service_address
-from siskinshift.connections.upstream_life import Heartbeat
-from siskinshift.connections.upstream_life import UpstreamState
+from siskinshift.connections.upstream_state import Heartbeat
+from siskinshift.connections.upstream_state import UpstreamState
 from siskinshift.messages.core import Endpoint
 from siskinshift.messages.core import Member
 from siskinshift.messages.core import MemberState
--- a/tests/connections/test_ownership_stateful.py
+++ b/tests/connections/test_ownership_stateful.py
@@ -40,7 +40,7 @@
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
 from siskinshift.connections.segment import is_between
-from siskinshift.connections.upstream_life import UpstreamState
+from siskinshift.connections.upstream_state import UpstreamState
 from siskinshift.messages.core import Endpoint
 from siskinshift.messages.core import Role
 from tests.connections.builders import HEARTBEAT_SECONDS
--- a/tests/connections/test_upstream_life.py
+++ b/tests/connections/test_upstream_state.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from siskinshift.connections.incarnation import Incarnation
-from siskinshift.connections.upstream_life import COLD_WEIGHT
-from siskinshift.connections.upstream_life import MISSED_HEARTBEATS
-from siskinshift.connections.upstream_life import HeartbeatEffect
-from siskinshift.connections.upstream_life import UpstreamState
+from siskinshift.connections.upstream_state import COLD_WEIGHT
+from siskinshift.connections.upstream_state import MISSED_HEARTBEATS
+from siskinshift.connections.upstream_state import HeartbeatEffect
+from siskinshift.connections.upstream_state import UpstreamState
 from siskinshift.core.members import FULL_WEIGHT
 from siskinshift.messages.core import MemberState
 from tests.connections.builders import HEARTBEAT_SECONDS
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies
 
 from siskinshift.connections.incarnation import Incarnation
-from siskinshift.connections.upstream_life import EndNotice
-from siskinshift.connections.upstream_life import Heartbeat
+from siskinshift.connections.upstream_state import EndNotice
+from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.platform.heartbeats import decode_upstream_call
 from siskinshift.runtime.http_server import HttpRequest
