--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -29,7 +29,7 @@
 from siskinshift.connections.registration import role_prefix
 from siskinshift.connections.snapshot_upload import SnapshotUpload
 from siskinshift.connections.snapshot_writer import writer_of
-from siskinshift.connections.upstream_state import EndNotice
+from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.connections.upstream_state import HeartbeatEffect
 from siskinshift.connections.upstream_state import UpstreamState
@@ -257,9 +257,9 @@
         self.loop.call(lambda: self._on_upstream_call(call)).result(CALL_SECONDS)
         return HttpReply(200, ACKNOWLEDGEMENT)
 
-    def _on_upstream_call(self, call: Heartbeat | EndNotice) -> None:
+    def _on_upstream_call(self, call: Heartbeat | Deregistration) -> None:
         now = self.clock()
-        if isinstance(call, EndNotice):
+        if isinstance(call, Deregistration):
             is_current = self.life.on_end(call.incarnation)
             self.log.fact(
                 "upstream ends",
--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -53,7 +53,7 @@
 
 
 @frozen
-class EndNotice:
+class Deregistration:
     """An upstream says that it ends now.
 
     Attributes:
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -7,7 +7,7 @@
 
 from siskinshift.connections.incarnation import Incarnation
 from siskinshift.connections.member_documents import SLOTS_MAXIMUM
-from siskinshift.connections.upstream_state import EndNotice
+from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_table
@@ -32,7 +32,7 @@
 ACKNOWLEDGEMENT = b"{}"
 
 
-def decode_upstream_call(request: HttpRequest) -> Heartbeat | EndNotice | None:
+def decode_upstream_call(request: HttpRequest) -> Heartbeat | Deregistration | None:
     """Decodes a call of an upstream.
 
     Args:
@@ -49,7 +49,7 @@
     if request.path.startswith(_END_PATH):
         # An end may come without a body.
         body = parse_table(request.body) if request.body else {}
-        return EndNotice(_incarnation(request.path[len(_END_PATH) :], body))
+        return Deregistration(_incarnation(request.path[len(_END_PATH) :], body))
     if request.path.startswith(_HEARTBEAT_PATH):
         body = parse_table(request.body)
         return _decode_heartbeat(request.path[len(_HEARTBEAT_PATH) :], body)
