--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -10,7 +10,7 @@
 from siskinshift.connections.configuration_follower import STORE
 from siskinshift.connections.configuration_follower import ConfigurationFollower
 from siskinshift.connections.configuration_follower import ConfigurationReading
-from siskinshift.connections.departure import Departure
+from siskinshift.connections.departure import GracefulShutdown
 from siskinshift.connections.evacuation_dissemination import EvacuationDissemination
 from siskinshift.connections.evacuation_reader import EvacuationReader
 from siskinshift.connections.evacuations import EvacuationRegister
@@ -131,7 +131,7 @@
         self._agent_schedule = self.new_schedule(interval=AGENT_STATUS_SECONDS)
         self._balancer_schedule = self.new_schedule(interval=BALANCER_STATUS_SECONDS)
         self._received_at = self.clock()
-        self._departure: Departure | None = None
+        self._departure: GracefulShutdown | None = None
 
     def on_start(self) -> None:
         """Starts to forward; readiness follows with configuration and agents."""
@@ -165,7 +165,7 @@
 
     def begin_leaving(self) -> None:
         """Plans the end: not ready as soon as the domain can spare this balancer."""
-        self._departure = Departure(
+        self._departure = GracefulShutdown(
             started_at=self.clock(),
             leave_seconds=self.node_settings.leave_seconds,
         )
--- a/src/siskinshift/connections/departure.py
+++ b/src/siskinshift/connections/departure.py
@@ -31,7 +31,7 @@
 
 
 @define(eq=False)
-class Departure:
+class GracefulShutdown:
     """A planned end of a balancer.
 
     Attributes:
