--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -10,13 +10,13 @@
 from siskinshift.connections.configuration_follower import STORE
 from siskinshift.connections.configuration_follower import ConfigurationFollower
 from siskinshift.connections.configuration_follower import ConfigurationReading
-from siskinshift.connections.departure import GracefulShutdown
 from siskinshift.connections.evacuation_dissemination import EvacuationDissemination
 from siskinshift.connections.evacuation_reader import EvacuationReader
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
 from siskinshift.connections.evacuations import encode_evacuations
 from siskinshift.connections.evacuations import evacuations_from_document
+from siskinshift.connections.graceful_shutdown import GracefulShutdown
 from siskinshift.connections.node import ConnectionNode
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Owned
--- a/tests/connections/test_departure.py
+++ b/tests/connections/test_graceful_shutdown.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from siskinshift.connections.departure import QUIET_SECONDS
-from siskinshift.connections.departure import RESERVE_SECONDS
-from siskinshift.connections.departure import ROTATION_SECONDS
-from siskinshift.connections.departure import GracefulShutdown
 from siskinshift.connections.fleet import Peer
+from siskinshift.connections.graceful_shutdown import QUIET_SECONDS
+from siskinshift.connections.graceful_shutdown import RESERVE_SECONDS
+from siskinshift.connections.graceful_shutdown import ROTATION_SECONDS
+from siskinshift.connections.graceful_shutdown import GracefulShutdown
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
 from tests.connections.builders import member
