--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -163,7 +163,7 @@
             record.owned_header = b""
         if record.owner is not None:
             return [self._forwarding.to_owner(record, record.owner, segment, now=now)]
-        accepted = record.only_acceptance
+        accepted = record.sole_acceptor
         if accepted is not None:
             record.owner = accepted
             record.opening = b""
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -72,7 +72,7 @@
     service_ids: tuple[str, ...] = ()
 
     @property
-    def only_acceptance(self) -> Peer | None:
+    def sole_acceptor(self) -> Peer | None:
         """The agent that took it, if no other one was asked.
 
         Another balancer may have asked others as well: the one that was taken for the
