--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -454,7 +454,7 @@
     def _on_opening_verdict(
         self, agent: Peer, record: FlowRecord, verdict: Verdict, *, now: float
     ) -> list[Action]:
-        attempt = record.attempt_with(agent)
+        attempt = record.find_attempt(agent)
         if attempt is None:
             return []
         attempt.verdict = verdict
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -84,7 +84,7 @@
             return self.attempts[0].agent
         return None
 
-    def attempt_with(self, agent: Peer) -> Attempt | None:
+    def find_attempt(self, agent: Peer) -> Attempt | None:
         """Finds the attempt with an agent."""
         for attempt in self.attempts:
             if attempt.agent is agent:
