--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -160,7 +160,7 @@
         if record.terms is not route.terms:
             record.terms = route.terms
             record.service_ids = route.service_ids
-            record.owned_header = b""
+            record.owner_header = b""
         if record.owner is not None:
             return [self._forwarding.to_owner(record, record.owner, segment, now=now)]
         accepted = record.sole_acceptor
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -54,7 +54,7 @@
         terms: What callers on its route want.
         search: The search for its owner, if there is one.
         acknowledged: What the caller acknowledged last.
-        owned_header: What goes before each packet for the owner, once it was worked
+        owner_header: What goes before each packet for the owner, once it was worked
             out: most packets of a balancer are of open flows.
     """
 
@@ -68,7 +68,7 @@
     terms: RequestParameters = NO_TERMS
     search: OwnerSearch | None = None
     acknowledged: int = 0
-    owned_header: bytes = b""
+    owner_header: bytes = b""
     service_ids: tuple[str, ...] = ()
 
     @property
--- a/src/siskinshift/connections/forwarding.py
+++ b/src/siskinshift/connections/forwarding.py
@@ -42,10 +42,10 @@
         """
         if segment.length:
             self._recent.add(owner.member.member_id, segment.datagram, now=now)
-        if not record.owned_header:
+        if not record.owner_header:
             tag = self._tag_of(record.service_id)
-            record.owned_header = encode_forward(Purpose.OWNED, tag, b"", record.terms)
-        return ToPeer(owner.address, record.owned_header + segment.datagram)
+            record.owner_header = encode_forward(Purpose.OWNED, tag, b"", record.terms)
+        return ToPeer(owner.address, record.owner_header + segment.datagram)
 
     def to_agent(
         self,
