--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -314,7 +314,7 @@
         actions += self._finder.tick(now=now)
         while self._held and now - self._held[0].opened_at > HOLD_SECONDS:
             actions += self._give_up(self._held.popleft())
-        self._records.forget_silent(now=now)
+        self._records.drop_idle(now=now)
         return actions
 
     def next_due(self) -> float:
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -114,7 +114,7 @@
 
     @property
     def due(self) -> float:
-        """When `forget_silent` is needed next: clock reading, seconds."""
+        """When `drop_idle` is needed next: clock reading, seconds."""
         return self._generation_at + GENERATION_SECONDS
 
     def find(self, flow: bytes) -> FlowRecord | None:
@@ -159,7 +159,7 @@
         self._young.pop(flow, None)
         self._old.pop(flow, None)
 
-    def forget_silent(self, *, now: float) -> None:
+    def drop_idle(self, *, now: float) -> None:
         """Drops the old generation if its time has come.
 
         Args:
