--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -51,7 +51,7 @@
         opening: The opening packet, until the flow is open.
         opened_at: When that came, seconds.
         attempts: Agents asked to take it.
-        terms: What callers on its route want.
+        request_parameters: What callers on its route want.
         search: The search for its owner, if there is one.
         acknowledged: What the caller acknowledged last.
         owner_header: What goes before each packet for the owner, once it was worked
@@ -65,7 +65,7 @@
     opening: bytes = b""
     opened_at: float = 0.0
     attempts: list[Attempt] = Factory(list)
-    terms: RequestParameters = NO_TERMS
+    request_parameters: RequestParameters = NO_TERMS
     search: OwnerSearch | None = None
     acknowledged: int = 0
     owner_header: bytes = b""
--- a/src/siskinshift/connections/forwarding.py
+++ b/src/siskinshift/connections/forwarding.py
@@ -44,7 +44,9 @@
             self._recent.add(owner.member.member_id, segment.datagram, now=now)
         if not record.owner_header:
             tag = self._tag_of(record.service_id)
-            record.owner_header = encode_forward(Purpose.OWNED, tag, b"", record.terms)
+            record.owner_header = encode_forward(
+                Purpose.OWNED, tag, b"", record.request_parameters
+            )
         return ToPeer(owner.address, record.owner_header + segment.datagram)
 
     def to_agent(
@@ -66,7 +68,7 @@
             The message.
         """
         tag = self._tag_of(record.service_id) if record is not None else 0
-        terms = record.terms if record is not None else NO_TERMS
+        terms = record.request_parameters if record is not None else NO_TERMS
         return ToPeer(agent.address, encode_forward(purpose, tag, datagram, terms))
 
     def all_to_agent(
