--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -66,14 +66,14 @@
         upstream_heard_at: When the upstream last sent a packet, seconds.
     """
 
-    def __init__(self, *, life: UpstreamState, log: EventLog) -> None:
+    def __init__(self, *, upstream: UpstreamState, log: EventLog) -> None:
         """Starts without any flow.
 
         Args:
-            life: The upstream.
+            upstream: The upstream.
             log: Takes a line for each decision.
         """
-        self._life = life
+        self._upstream = upstream
         self._log = log
         self._queue = RequestQueue()
         self._flows = OwnedFlows(self._queue)
@@ -300,7 +300,7 @@
         Returns:
             Packets for the upstream.
         """
-        self._queue.slots = self._life.slots
+        self._queue.slots = self._upstream.slots
         expired = self._queue.expire(now=now)
         if expired:
             self._log.decision("given up", reason="waited too long", requests=expired)
@@ -332,16 +332,16 @@
     ) -> list[Action]:
         if segment.flags & (SYN | ACK | BOUNCED) != SYN:
             return []
-        if forward.service_tag != service_tag(self._life.service_id):
+        if forward.service_tag != service_tag(self._upstream.service_id):
             return [self._refuse(Verdict.WRONG_SERVICE, segment.flow, sender)]
         flow = self._flows.get(segment.flow)
         if self.is_evacuated and (flow is None or not flow.is_confirmed):
             # Copies too: the upstream may not have got the packets before them.
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
-        if flow is None and (self.is_pausing or not self._life.accepts(now=now)):
+        if flow is None and (self.is_pausing or not self._upstream.accepts(now=now)):
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
         if flow is None:
-            is_cold = self._life.may_be_cold(now=now)
+            is_cold = self._upstream.may_be_cold(now=now)
             if not self.warm_up.admits(is_cold=is_cold, now=now):
                 return [self._refuse(Verdict.FULL, segment.flow, sender)]
             flow = self._flows.add(segment.flow, now=now)
@@ -455,7 +455,7 @@
             flow=flow_name(flow),
             reason=verdict.name.lower(),
             evacuated=self.is_evacuated,
-            upstream=self._life.upstream_id,
+            upstream=self._upstream.upstream_id,
         )
         return self._say(verdict, flow, sender)
 
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -88,11 +88,11 @@
         super().__init__(settings, role=Role.AGENT)
         assert settings.upstream is not None
         assert settings.upstream_outlet is not None
-        self.life = UpstreamState(
+        self.upstream_state = UpstreamState(
             service_id=settings.service_id,
             heartbeat_interval=settings.heartbeat_interval,
         )
-        self.flows = AgentFlows(life=self.life, log=self.log)
+        self.flows = AgentFlows(upstream=self.upstream_state, log=self.log)
         self.evacuations = EvacuationRegister()
         outlet = settings.upstream_outlet
         self._upstream_socket = open_datagram_socket(outlet.host, outlet.port)
@@ -135,7 +135,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the upstream takes new flows."""
-        return not self.is_leaving and self.life.accepts(now=self.clock())
+        return not self.is_leaving and self.upstream_state.accepts(now=self.clock())
 
     @property
     def load(self) -> Load:
@@ -160,7 +160,7 @@
         now = self.clock()
         self._left_by = now
         self.flows.is_pausing = True
-        if self.life.is_gone:
+        if self.upstream_state.is_gone:
             self.perform(self.flows.upstream_ended(now=now))
         else:
             self._left_by += LEAVE_SECONDS_MAXIMUM
@@ -202,7 +202,7 @@
         self.flows.is_evacuated = is_evacuated
         if not is_evacuated:
             # It may have become cold since its last heartbeat.
-            self.life.presume_cold(now=now)
+            self.upstream_state.presume_cold(now=now)
         self.log.fact(
             "evacuated" if is_evacuated else "evacuation ended",
             revision=evacuations.revision,
@@ -260,7 +260,7 @@
     def _on_upstream_call(self, call: Heartbeat | Deregistration) -> None:
         now = self.clock()
         if isinstance(call, Deregistration):
-            is_current = self.life.on_end(call.incarnation)
+            is_current = self.upstream_state.on_end(call.incarnation)
             self.log.fact(
                 "upstream ends",
                 upstream=call.incarnation.upstream_id,
@@ -272,7 +272,7 @@
         self._on_heartbeat(call, now)
 
     def _on_heartbeat(self, call: Heartbeat, now: float) -> None:
-        effect = self.life.on_heartbeat(call, now=now)
+        effect = self.upstream_state.on_heartbeat(call, now=now)
         if effect is HeartbeatEffect.IGNORED:
             self.log.decision(
                 "heartbeat ignored",
@@ -302,20 +302,24 @@
             # not take the list for that of a start before.
             self.flows.know_all()
             self._is_list_urgent.set()
-        if self.life.incarnation != self._verified:
+        if self.upstream_state.incarnation != self._verified:
             # Asks about all flows at once: those of the start before are reset as
             # the new one returns them, those that it has taken since live on.
-            self._verified = self.life.incarnation
+            self._verified = self.upstream_state.incarnation
             self.perform(self.flows.verify_all())
 
     def _take_first_start(self, is_new: bool) -> None:
         if is_new:
-            self.log.fact("upstream is new", upstream=self.life.upstream_id)
+            self.log.fact("upstream is new", upstream=self.upstream_state.upstream_id)
             self.flows.know_all()
 
     @property
     def _present_started_ms(self) -> int | None:
-        return self.life.incarnation.started_ms if self.life.incarnation else None
+        return (
+            self.upstream_state.incarnation.started_ms
+            if self.upstream_state.incarnation
+            else None
+        )
 
     def _keep_snapshot(self) -> None:
         listed = self._snapshots.load()
@@ -345,8 +349,8 @@
         self.log.fact("flows restored", flows=len(flows))
         # Balancers that were heard before the list was read are told now.
         self._told_incarnations_by_id.clear()
-        if self.life.can_be_asked(now=now):
-            self._verified = self.life.incarnation
+        if self.upstream_state.can_be_asked(now=now):
+            self._verified = self.upstream_state.incarnation
             self.perform(self.flows.verify_all())
 
     def _writer(self) -> Endpoint | None:
@@ -373,7 +377,7 @@
         def collect() -> FlowSnapshot:
             flows = self.flows.long_flows(now=self.clock())
             rows = tuple(_row_of(flow) for flow in flows)
-            return FlowSnapshot(rows, self.life.incarnation)
+            return FlowSnapshot(rows, self.upstream_state.incarnation)
 
         return self.loop.call(collect).result(CALL_SECONDS)
 
@@ -398,11 +402,15 @@
         return [ToPeer(peer.address, message) for message in messages]
 
     def _update_member(self, now: float) -> None:
-        state = self.life.state(now=now)
+        state = self.upstream_state.state(now=now)
         if self.is_leaving:
-            state = MemberState.GONE if self.life.is_gone else MemberState.JOINING
-        weight = self.life.weight(now=now)
-        if self.change_member(state=state, weight=weight, slots=self.life.slots):
+            state = (
+                MemberState.GONE if self.upstream_state.is_gone else MemberState.JOINING
+            )
+        weight = self.upstream_state.weight(now=now)
+        if self.change_member(
+            state=state, weight=weight, slots=self.upstream_state.slots
+        ):
             self.send_status(self.fleet.balancers())
 
     def _probe_if_late(self, now: float) -> None:
@@ -416,7 +424,7 @@
         late_at = self._heartbeat_at + self.node_settings.heartbeat_interval
         if now <= late_at + LATE_SECONDS:
             return
-        if self.life.incarnation and not self.flows.waits_for_upstream:
+        if self.upstream_state.incarnation and not self.flows.waits_for_upstream:
             return
         if not self._is_probing and now - self._probed_at >= PROBE_INTERVAL_SECONDS:
             self._probed_at = now
@@ -440,14 +448,14 @@
             self._is_probing = False
 
     def _on_sign_of_life(self) -> None:
-        if self.life.incarnation:
+        if self.upstream_state.incarnation:
             return
         now = self.clock()
         self._is_process_gone = False
-        is_first = not self.life.accepts(now=now)
-        self.life.on_sign_of_life(now=now)
+        is_first = not self.upstream_state.accepts(now=now)
+        self.upstream_state.on_sign_of_life(now=now)
         if is_first:
-            self.log.fact("upstream answers", service=self.life.service_id)
+            self.log.fact("upstream answers", service=self.upstream_state.service_id)
             self._update_member(now)
             self.perform(self.flows.verify_all())
 
@@ -455,17 +463,21 @@
         """Takes the entry of an agent away that does not come back."""
         super().on_stop()
         self._is_list_urgent.set()
-        if self.life.is_gone:
+        if self.upstream_state.is_gone:
             self.end_registration()
 
     def _on_process_gone(self, probed_at: float) -> None:
         if self.flows.upstream_heard_at >= probed_at:
             # A packet of the upstream that came meanwhile proves the opposite.
-            self.log.fact("upstream probe contradicted", upstream=self.life.upstream_id)
+            self.log.fact(
+                "upstream probe contradicted", upstream=self.upstream_state.upstream_id
+            )
             return
         if not self._is_process_gone:
             self._is_process_gone = True
-            self.log.fact("upstream process gone", upstream=self.life.upstream_id)
+            self.log.fact(
+                "upstream process gone", upstream=self.upstream_state.upstream_id
+            )
         self.perform(self.flows.upstream_ended(now=self.clock()))
 
 
