--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -1,9 +1,9 @@
-"""Decides at an agent what becomes of each packet: the owner's side of a flow.
+"""Decides at an agent how to handle each packet of its upstream's flows.
 
-A flow belongs to the upstream whose first sequence number the caller acknowledged. The
-agent sees that number in the upstream's answer, so it tells its own flows from those
-that another upstream won without asking anybody. An agent that was restarted knows no
-flow; its upstream is the truth: it returns a packet of a flow that it does not hold.
+A flow belongs to the upstream whose initial sequence number the caller acknowledged.
+The agent sees that number in the upstream's response, so it can tell its own flows from
+those of other upstreams without a query to peers. A restarted agent has no flow state
+and relies on its upstream, which returns a packet of a flow that it does not hold.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from siskinshift.connections.actions import ToPeer
 from siskinshift.connections.actions import ToUpstream
 from siskinshift.connections.foreign_flows import ForeignFlows
-from siskinshift.connections.offers import Offer
-from siskinshift.connections.offers import Offers
 from siskinshift.connections.owned_flows import OwnedFlows
+from siskinshift.connections.ownership_probes import OwnershipProbe
+from siskinshift.connections.ownership_probes import OwnershipProbes
 from siskinshift.connections.peer_codec import encode_verdict
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Load
@@ -41,7 +41,7 @@
     from collections.abc import Iterable
 
     from siskinshift.connections.actions import Action
-    from siskinshift.connections.owned_flow import LongFlow
+    from siskinshift.connections.owned_flow import LongLivedFlow
     from siskinshift.connections.owned_flow import OwnedFlow
     from siskinshift.connections.owned_flow import RestoredFlow
     from siskinshift.connections.peer_messages import Forward
@@ -51,7 +51,7 @@
     from siskinshift.observability.event_log import EventLog
 
 
-# How often flows are looked through, seconds.
+# Interval at which expired flows are removed.
 SWEEP_SECONDS = 2.0
 
 
@@ -59,60 +59,62 @@
     """Flows of the upstream beside one agent.
 
     Attributes:
-        is_pausing: Whether new flows are refused because the agent ends soon.
-        is_evacuated: Whether they are refused because operators have evacuated the
-            failure domain.
-        warm_up: Bounds new flows while the upstream is cold.
-        upstream_heard_at: When the upstream last sent a packet, seconds.
+        is_draining: Whether new flows are refused because the agent is shutting down.
+        is_evacuated: Whether new flows are refused because operators have evacuated
+            the failure domain.
+        warm_up: Limits new flows while the upstream is cold.
+        upstream_last_seen_at: Time of the upstream's last packet, seconds.
     """
 
     def __init__(self, *, upstream: UpstreamState, log: EventLog) -> None:
-        """Starts without any flow.
+        """Initializes the agent's flows.
 
         Args:
-            upstream: The upstream.
-            log: Takes a line for each decision.
+            upstream: State of the upstream.
+            log: Log of the decisions.
         """
         self._upstream = upstream
         self._log = log
         self._queue = RequestQueue()
         self._flows = OwnedFlows(self._queue)
         self._foreign = ForeignFlows()
-        self._offers = Offers()
+        self._probes = OwnershipProbes()
         self._swept_at = 0.0
-        self.is_pausing = False
+        self.is_draining = False
         self.is_evacuated = False
         self.warm_up = WarmUpLimit()
-        self.upstream_heard_at = float("-inf")
+        self.upstream_last_seen_at = float("-inf")
 
     def __len__(self) -> int:
         return self._flows.open_count
 
     @property
-    def waits_for_upstream(self) -> bool:
-        """Whether the upstream owes an answer or holds flows."""
-        return bool(self._flows.open_count or self._offers)
+    def is_awaiting_upstream(self) -> bool:
+        """Whether the upstream holds flows or has not responded to a probe."""
+        return bool(self._flows.open_count or self._probes)
 
     @property
     def load(self) -> Load:
-        """Open flows, those on which a caller waits, and how sure that is."""
+        """Open flows, those with a waiting caller, and whether they are certain."""
         return Load(
-            self._flows.open_count, len(self._queue), self._foreign.has_all_others
+            self._flows.open_count,
+            len(self._queue),
+            self._foreign.treats_unknown_as_foreign,
         )
 
     def on_forward(
         self, forward: Forward, segment: Segment, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
-        """Takes a caller's packet from a balancer.
+        """Handles a caller's packet from a balancer.
 
         Args:
-            forward: What the balancer asks.
+            forward: The message with the packet.
             segment: The packet.
-            sender: The balancer.
+            sender: Address of the balancer.
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            The resulting actions.
         """
         if forward.purpose is Purpose.OPEN:
             return self._on_opening(forward, segment, sender, now=now)
@@ -120,170 +122,174 @@
             return []
         flow = self._flows.get(segment.flow)
         if flow is None:
-            return self._offer(forward, segment, sender, now=now)
-        if not flow.acknowledges_it(segment.ack):
-            # Another upstream's answer reached the caller first.
+            return self._probe_ownership(forward, segment, sender, now=now)
+        if not flow.matches_acknowledgement(segment.ack):
+            # The caller chose the response of another upstream.
             if segment.flags & RESET:
                 return []
-            return [self._deny(forward, segment, sender)]
-        flow.via = sender
+            return [self._reject_foreign(forward, segment, sender)]
+        flow.last_balancer = sender
         actions: list[Action] = []
-        if self._note_caller_packet(flow, segment, forward.terms, now=now):
+        if self._record_caller_packet(flow, segment, forward.terms, now=now):
             actions.append(ToUpstream(segment.datagram))
         if forward.purpose is Purpose.SEARCH:
-            actions.append(self._say(Verdict.MINE, segment.flow, sender))
+            actions.append(self._verdict_to(Verdict.MINE, segment.flow, sender))
         if segment.flags & (FIN | RESET):
-            # The caller may have given up a request that held a slot.
-            actions += self._start_waiting(now=now)
+            # The caller may have cancelled a request that occupied a slot.
+            actions += self._start_requests(now=now)
         return actions
 
     def on_question(
         self, question: Question, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
-        """Says whether the upstream holds a flow, as far as it is known here.
+        """Answers a query for the owner of a flow from the agent's own state.
 
         Args:
-            question: The flow.
-            sender: The balancer.
+            question: The query.
+            sender: Address of the balancer.
             now: Clock reading, seconds.
 
         Returns:
-            The answer.
+            The reply.
         """
         flow = self._flows.get(question.flow)
         if flow is not None:
-            is_own = flow.acknowledges_it(question.acknowledged)
+            is_own = flow.matches_acknowledgement(question.acknowledged)
             verdict = Verdict.MINE if is_own else Verdict.NOT_MINE
         elif self._foreign.has(question.flow, now=now):
             verdict = Verdict.NOT_MINE
         else:
             verdict = Verdict.UNSURE
-        return [self._say(verdict, question.flow, sender)]
+        return [self._verdict_to(verdict, question.flow, sender)]
 
     def on_upstream_segment(self, segment: Segment, *, now: float) -> list[Action]:
-        """Takes a packet of the upstream.
+        """Handles a packet of the upstream.
 
         Args:
-            segment: The packet; one that it returned carries the flag BOUNCED.
+            segment: The packet; one that the upstream returned has the flag BOUNCED.
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            The resulting actions.
         """
-        self.upstream_heard_at = now
+        self.upstream_last_seen_at = now
         if segment.flags & BOUNCED:
             return self._on_bounce(segment, now=now)
         actions: list[Action] = [ToCaller(segment.flow, segment.datagram)]
         flow = self._flows.get(segment.flow)
-        offer = self._offers.take(segment.flow)
-        if flow is None and offer is not None and not offer.is_answered_by(segment):
-            # Kept from the caller: it knows another upstream's numbers, and a reset
-            # would break the flow that it has with that one.
-            return [self._on_foreign_answer(segment, offer, now=now)]
+        probe = self._probes.pop(segment.flow)
+        if flow is None and probe is not None and not probe.is_confirmed_by(segment):
+            # Not sent to the caller: it uses another upstream's sequence numbers, and
+            # a reset would break its flow with that upstream.
+            return [self._on_foreign_reply(segment, probe, now=now)]
         if flow is None:
             if segment.flags & RESET:
                 return actions
             flow = self._flows.add(segment.flow, now=now)
             self._foreign.discard(segment.flow)
-        if offer is not None:
-            actions.append(self._say(Verdict.MINE, segment.flow, offer.asker))
-        if flow.opener is not None and segment.flags & SYN:
-            actions.append(self._say(Verdict.ACCEPTED, segment.flow, flow.opener))
-            flow.opener = None
-        flow.note_upstream(segment)
+        if probe is not None:
+            actions.append(self._verdict_to(Verdict.MINE, segment.flow, probe.balancer))
+        if flow.opening_balancer is not None and segment.flags & SYN:
+            actions.append(
+                self._verdict_to(Verdict.ACCEPTED, segment.flow, flow.opening_balancer)
+            )
+            flow.opening_balancer = None
+        flow.record_upstream_packet(segment)
         flow.used_at = now
         if segment.length:
-            taken = self._queue.finished(segment.flow, now=now)
-            if taken is not None:
-                self._log.metrics.observe("request_run", taken)
+            run_seconds = self._queue.finish(segment.flow, now=now)
+            if run_seconds is not None:
+                self._log.metrics.observe("request_run", run_seconds)
         if segment.flags & RESET:
             self._flows.end(segment.flow, flow, now=now)
         elif segment.flags & FIN:
-            flow.ends_seen |= 2
+            flow.fins_seen |= 2
             self._flows.end_if_closed(segment.flow, flow, now=now)
-        return [*actions, *self._start_waiting(now=now)]
+        return [*actions, *self._start_requests(now=now)]
 
     def verify_all(self) -> list[Action]:
-        """Asks the upstream about each flow; those that it lost are reset in turn.
+        """Verifies each flow with the upstream, so that lost flows are reset.
 
-        Guards against callers that wait for an incarnation that has ended: they would
-        find out at the deadline of their next request.
+        Callers of an incarnation that has ended would otherwise detect the loss only
+        at the deadline of their next request.
 
         Returns:
-            A packet of each flow that has one to repeat.
+            The verification packet of each flow that has one.
         """
-        return [ToUpstream(packet) for packet in self._flows.bare_packets()]
+        return [ToUpstream(packet) for packet in self._flows.verification_packets()]
 
-    def long_flows(self, *, now: float) -> list[LongFlow]:
-        """Lists the flows that their callers keep.
+    def long_lived_flows(self, *, now: float) -> list[LongLivedFlow]:
+        """Returns the long-lived flows that can be verified.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            The flows, each with a packet without data.
+            The flows, each with its verification packet.
         """
-        return self._flows.long_ones(now=now)
+        return self._flows.long_lived_flows(now=now)
 
     def flows_via(self, balancer: tuple[str, int]) -> list[bytes]:
-        """Names open flows whose newest packet came from a balancer.
+        """Returns the open flows whose newest packet came from a balancer.
 
-        Guards against searches by a balancer that has restarted: routers send it the
-        same flows again, hundreds within a second, and on a link of 5 Mbit/s the
-        questions for them alone would take seconds.
+        A restarted balancer that receives this list needs no owner lookups. Routers
+        send it the same flows again, hundreds within a second, and on a link of
+        5 Mbit/s the queries for them alone would take seconds.
 
         Args:
-            balancer: Where its messages come from.
+            balancer: Address of the balancer.
 
         Returns:
-            The flows.
+            Keys of the flows.
         """
-        return self._flows.via(balancer)
+        return self._flows.flows_via(balancer)
 
     def restore(self, flows: Iterable[RestoredFlow], *, now: float) -> list[Action]:
-        """Takes flows that the process before this one owned.
+        """Restores flows that the previous process owned.
 
-        They are asked about as soon as the upstream is heard; see `verify_all`.
+        They are verified once the upstream is reachable; see `verify_all`.
 
         Args:
             flows: The flows.
             now: Clock reading, seconds.
 
         Returns:
-            Resets, if the upstream that held them is known to be gone.
+            Resets, if the upstream that held the flows has certainly ended.
         """
-        new = [known for known in flows if known.segment.flow not in self._flows]
-        if self._foreign.has_all_others:
-            return [ResetCaller(k.segment.flow, k.segment.ack) for k in new]
-        for known in new:
-            segment = known.segment
+        new = [
+            restored for restored in flows if restored.segment.flow not in self._flows
+        ]
+        if self._foreign.treats_unknown_as_foreign:
+            return [ResetCaller(r.segment.flow, r.segment.ack) for r in new]
+        for restored in new:
+            segment = restored.segment
             flow = self._flows.add(segment.flow, now=now)
-            flow.via = known.via
-            flow.begin_in_the_middle(segment.ack)
+            flow.last_balancer = restored.last_balancer
+            flow.adopt_at(segment.ack)
             flow.is_confirmed = True
             flow.acknowledged = segment.ack
-            flow.bare_packet = segment.datagram
+            flow.verification_packet = segment.datagram
         return []
 
-    def know_all(self) -> None:
-        """Takes note that each flow of the upstream has passed through this process."""
-        self._foreign.has_all_others = True
+    def mark_all_known(self) -> None:
+        """Records that this process has seen every flow of the upstream."""
+        self._foreign.treats_unknown_as_foreign = True
 
-    def upstream_ended(self, *, now: float) -> list[Action]:
-        """Resets all flows of an upstream whose process is gone for certain.
+    def on_upstream_gone(self, *, now: float) -> list[Action]:
+        """Resets all flows of an upstream whose process has certainly ended.
 
-        From then on the agent knows all flows of whatever upstream follows.
+        From then on the agent tracks all flows of any upstream that follows.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            The resets, and a word to those who asked for flows in the meantime.
+            The resets, and a reply to each balancer whose probe is pending.
         """
-        self._foreign.has_all_others = True
+        self._foreign.treats_unknown_as_foreign = True
         actions: list[Action] = [
-            self._say(Verdict.NOT_MINE, flow, offer.asker)
-            for flow, offer in self._offers.take_all()
+            self._verdict_to(Verdict.NOT_MINE, flow, probe.balancer)
+            for flow, probe in self._probes.pop_all()
         ]
         ended = self._flows.end_all(now=now)
         actions += [ResetCaller(name, flow.acknowledged) for name, flow in ended]
@@ -292,7 +298,7 @@
         return actions
 
     def tick(self, *, now: float) -> list[Action]:
-        """Forgets what is over and starts what has waited long enough.
+        """Removes expired flows and requests and starts waiting requests.
 
         Args:
             now: Clock reading, seconds.
@@ -301,13 +307,13 @@
             Packets for the upstream.
         """
         self._queue.slots = self._upstream.slots
-        expired = self._queue.expire(now=now)
+        expired = self._queue.drop_expired(now=now)
         if expired:
             self._log.decision("given up", reason="waited too long", requests=expired)
         self._sweep(now=now)
-        return self._start_waiting(now=now)
+        return self._start_requests(now=now)
 
-    def _start_waiting(self, *, now: float) -> list[Action]:
+    def _start_requests(self, *, now: float) -> list[Action]:
         actions: list[Action] = []
         for request in self._queue.next_requests(now=now):
             self._log.decision(
@@ -316,7 +322,9 @@
                 waited=round(now - request.arrived_at, 4),
             )
             self._log.metrics.observe("request_wait", now - request.arrived_at)
-            actions += [ToUpstream(packet) for packet in request.packets.values()]
+            actions += [
+                ToUpstream(packet) for packet in request.packets_by_sequence.values()
+            ]
         return actions
 
     def _sweep(self, *, now: float) -> None:
@@ -325,7 +333,7 @@
         self._swept_at = now
         self._flows.sweep(now=now)
         self._foreign.sweep(now=now)
-        self._offers.sweep(now=now)
+        self._probes.sweep(now=now)
 
     def _on_opening(
         self, forward: Forward, segment: Segment, sender: tuple[str, int], *, now: float
@@ -336,49 +344,51 @@
             return [self._refuse(Verdict.WRONG_SERVICE, segment.flow, sender)]
         flow = self._flows.get(segment.flow)
         if self.is_evacuated and (flow is None or not flow.is_confirmed):
-            # Copies too: the upstream may not have got the packets before them.
+            # Applies to copies as well: earlier packets of the flow may have been lost.
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
-        if flow is None and (self.is_pausing or not self._upstream.accepts(now=now)):
+        if flow is None and (self.is_draining or not self._upstream.accepts(now=now)):
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
         if flow is None:
             is_cold = self._upstream.may_be_cold(now=now)
             if not self.warm_up.admits(is_cold=is_cold, now=now):
                 return [self._refuse(Verdict.FULL, segment.flow, sender)]
             flow = self._flows.add(segment.flow, now=now)
-        flow.opener = flow.via = sender
+        flow.opening_balancer = flow.last_balancer = sender
         return [ToUpstream(segment.datagram)]
 
-    def _offer(
+    def _probe_ownership(
         self, forward: Forward, segment: Segment, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
         if segment.flags & RESET:
             return []
         if self._foreign.has(segment.flow, now=now):
-            return [self._deny(forward, segment, sender)]
-        is_search = forward.purpose is Purpose.SEARCH
-        offer = self._offers.add(
-            segment.flow, sender, segment.ack, is_search=is_search, now=now
+            return [self._reject_foreign(forward, segment, sender)]
+        is_lookup = forward.purpose is Purpose.SEARCH
+        probe = self._probes.add(
+            segment.flow, sender, segment.ack, is_lookup=is_lookup, now=now
         )
         actions: list[Action] = [ToUpstream(segment.datagram)]
-        if offer.is_doubtful(now=now):
-            silent = round(now - offer.since, 3)
+        if probe.is_overdue(now=now):
+            silent = round(now - probe.started_at, 3)
             self._log.decision(
                 "flow doubted", flow=flow_name(segment.flow), silent=silent
             )
-            doubt = Verdict.UNSURE
-            actions.append(self._say(doubt, segment.flow, sender, segment.datagram))
+            verdict = Verdict.UNSURE
+            actions.append(
+                self._verdict_to(verdict, segment.flow, sender, segment.datagram)
+            )
         return actions
 
-    def _deny(
+    def _reject_foreign(
         self, forward: Forward, segment: Segment, sender: tuple[str, int]
     ) -> ToPeer:
-        # A balancer that searches has the packet; to one that took this agent for the
-        # owner it goes back for the others.
+        # A balancer that runs an owner lookup keeps the packet. One that treats this
+        # agent as the owner gets it back for other agents.
         packet = b"" if forward.purpose is Purpose.SEARCH else segment.datagram
-        return self._say(Verdict.NOT_MINE, segment.flow, sender, packet)
+        return self._verdict_to(Verdict.NOT_MINE, segment.flow, sender, packet)
 
-    def _on_foreign_answer(
-        self, segment: Segment, offer: Offer, *, now: float
+    def _on_foreign_reply(
+        self, segment: Segment, probe: OwnershipProbe, *, now: float
     ) -> Action:
         self._foreign.mark(segment.flow, now=now)
         self._log.decision(
@@ -386,31 +396,33 @@
             flow=flow_name(segment.flow),
             flags=segment.flags,
             seq=segment.seq,
-            caller_acknowledged=offer.acknowledged,
+            caller_acknowledged=probe.acknowledged,
         )
-        return self._say(Verdict.NOT_MINE, segment.flow, offer.asker)
+        return self._verdict_to(Verdict.NOT_MINE, segment.flow, probe.balancer)
 
     def _on_bounce(self, segment: Segment, *, now: float) -> list[Action]:
         flow = self._flows.get(segment.flow)
         if segment.flags & SYN:
-            if flow is None or flow.opener is None:
+            if flow is None or flow.opening_balancer is None:
                 return []
-            sender = flow.opener
+            sender = flow.opening_balancer
             self._flows.remove(segment.flow, now=now)
             return [self._refuse(Verdict.FULL, segment.flow, sender)]
-        offer = self._offers.take(segment.flow)
-        if offer is not None:
+        probe = self._probes.pop(segment.flow)
+        if probe is not None:
             self._foreign.mark(segment.flow, now=now)
-            packet = b"" if offer.is_search else segment.datagram
-            return [self._say(Verdict.NOT_MINE, segment.flow, offer.asker, packet)]
+            packet = b"" if probe.is_lookup else segment.datagram
+            return [
+                self._verdict_to(Verdict.NOT_MINE, segment.flow, probe.balancer, packet)
+            ]
         if flow is None or flow.ended_at:
             return []
         if not flow.is_confirmed:
-            # The upstream never held it open, so another one may.
+            # The upstream never held the flow open, so another one may hold it.
             self._flows.remove(segment.flow, now=now)
             self._foreign.mark(segment.flow, now=now)
             return []
-        # The caller acknowledged this upstream's own numbers, so no other upstream
+        # The caller acknowledged this upstream's sequence numbers, so no other upstream
         # can hold the flow.
         acknowledged = flow.acknowledged
         self._flows.end(segment.flow, flow, now=now)
@@ -419,33 +431,36 @@
         )
         return [ResetCaller(segment.flow, acknowledged)]
 
-    def _note_caller_packet(
+    def _record_caller_packet(
         self, flow: OwnedFlow, segment: Segment, terms: RequestParameters, *, now: float
     ) -> bool:
-        """Takes note of a packet; says whether it goes to the upstream now."""
+        """Records a caller's packet; returns whether to forward it now."""
         flow.used_at = now
         flow.acknowledged = segment.ack
         if segment.flags & RESET:
             self._flows.end(segment.flow, flow, now=now)
             return True
         if segment.flags & FIN:
-            flow.ends_seen |= 1
+            flow.fins_seen |= 1
             self._flows.end_if_closed(segment.flow, flow, now=now)
             return True
         if not segment.length:
-            flow.bare_packet = segment.datagram
+            flow.verification_packet = segment.datagram
             return True
         if flow.ended_at:
-            # Late data of a caller that has given up: the upstream answers it with
-            # a reset or not at all, so it must not hold a slot until it is stuck.
+            # Delayed data of a caller that has given up. The upstream responds with a
+            # reset or not at all, so the request must not occupy a slot until it
+            # counts as stuck.
             return True
-        is_new = flow.sent_up_to is None or is_after(segment.seq, flow.sent_up_to)
+        is_new = flow.next_caller_sequence is None or is_after(
+            segment.seq, flow.next_caller_sequence
+        )
         if is_new:
-            flow.sent_up_to = (segment.seq + segment.length) % SEQUENCE_SPACE
+            flow.next_caller_sequence = (segment.seq + segment.length) % SEQUENCE_SPACE
         is_copy = not is_new and segment.flow not in self._queue
         if is_copy or self._queue.is_running(segment.flow):
             return True
-        return self._queue.begin(
+        return self._queue.submit(
             segment.flow, segment.seq, segment.datagram, terms, now=now
         )
 
@@ -457,9 +472,9 @@
             evacuated=self.is_evacuated,
             upstream=self._upstream.upstream_id,
         )
-        return self._say(verdict, flow, sender)
+        return self._verdict_to(verdict, flow, sender)
 
-    def _say(
+    def _verdict_to(
         self,
         verdict: Verdict,
         flow: bytes,
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -1,4 +1,4 @@
-"""The agent of connection flows: the process beside an upstream."""
+"""Runs the agent of connection flows, the process beside an upstream."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     from siskinshift.connections.fleet import Peer
     from siskinshift.connections.incarnation import Incarnation
     from siskinshift.connections.node_settings import NodeSettings
-    from siskinshift.connections.owned_flow import LongFlow
+    from siskinshift.connections.owned_flow import LongLivedFlow
     from siskinshift.connections.peer_messages import Load
     from siskinshift.connections.peer_messages import PeerMessage
     from siskinshift.messages.core import Endpoint
@@ -59,119 +59,119 @@
     from siskinshift.runtime.http_server import HttpRequest
 
 
-# An upstream's call is answered within a second or it calls again.
-CALL_SECONDS = 0.8
-# A leaving agent lets requests that run end; its successor is up within a second and
-# most requests take less than this.
-LEAVE_SECONDS_MAXIMUM = 1.0
-LEAVE_STEP_SECONDS = 0.02
-# A heartbeat that is late by this much lets the agent look whether the upstream's
-# process is still there.
-LATE_SECONDS = 0.25
+# An upstream repeats a request that gets no response within a second.
+LOOP_CALL_TIMEOUT_SECONDS = 0.8
+# A terminating agent waits for running requests. The next process is up within a
+# second, and most requests take less than this.
+MAX_LEAVE_SECONDS = 1.0
+LEAVE_CHECK_INTERVAL_SECONDS = 0.02
+# After this delay of a heartbeat the agent probes whether the upstream's process is
+# still running.
+LATE_HEARTBEAT_SECONDS = 0.25
 PROBE_INTERVAL_SECONDS = 0.2
-# How often the agent looks after its upstream.
-LOOK_INTERVAL_SECONDS = 0.1
+# Interval at which the agent checks its upstream.
+CHECK_INTERVAL_SECONDS = 0.1
 PROBE_TIMEOUT_SECONDS = 0.3
 HOST_SIZE = 4
 UNKNOWN_HOST = bytes(HOST_SIZE)
 
 
 class AgentNode(ConnectionNode):
-    """Owns the flows of the upstream on its instance."""
+    """The agent that owns the flows of the upstream on its instance."""
 
     def __init__(self, settings: NodeSettings) -> None:
         """Binds the sockets.
 
         Args:
-            settings: Settings of the node; upstream and outlet are required.
+            settings: Settings of the node, with an upstream and its outlet.
         """
         super().__init__(settings, role=Role.AGENT)
         assert settings.upstream is not None
         assert settings.upstream_outlet is not None
-        self.upstream_state = UpstreamState(
+        self.upstream = UpstreamState(
             service_id=settings.service_id,
             heartbeat_interval=settings.heartbeat_interval,
         )
-        self.flows = AgentFlows(upstream=self.upstream_state, log=self.log)
+        self.flows = AgentFlows(upstream=self.upstream, log=self.log)
         self.evacuations = EvacuationRegister()
         outlet = settings.upstream_outlet
         self._upstream_socket = open_datagram_socket(outlet.host, outlet.port)
         self.owns(self._upstream_socket.close)
         self._upstream_address = (settings.upstream.host, settings.upstream.port)
         self._snapshot_upload = SnapshotUpload(
-            member_id=settings.node_id, writer=self._writer, log=self.log
+            member_id=settings.node_id, writer=self._choose_writer, log=self.log
         )
         self.owns(self._snapshot_upload.close)
         self._snapshots = FlowSnapshotStore(
             store=self.store,
             member_id=settings.node_id,
-            flows=self._long_flows,
+            flows=self._collect_snapshot,
             hand_over=self._snapshot_upload.hand_over,
             log=self.log,
         )
         self._schedule = self.new_schedule(interval=STATUS_INTERVAL_SECONDS)
-        self._heartbeat_at = float("-inf")
+        self._last_heartbeat_at = float("-inf")
         self._probed_at = float("-inf")
         self._is_probing = False
         self._is_process_gone = False
-        self._verified: Incarnation | None = None
+        self._verified_incarnation: Incarnation | None = None
         self._first_start = FirstStart()
-        self._is_list_urgent = threading.Event()
-        self._told_incarnations_by_id: dict[str, int] = {}
-        self._left_by = float("inf")
+        self._is_snapshot_urgent = threading.Event()
+        self._notified_incarnations_by_id: dict[str, int] = {}
+        self._leave_deadline = float("inf")
 
     def on_start(self) -> None:
-        """Starts to listen to the upstream and to peers."""
+        """Starts to serve heartbeats and to maintain the flow snapshot."""
         super().on_start()
         if self.node_settings.heartbeats is not None:
-            self.serve(self.node_settings.heartbeats, self._answer_upstream)
-        self.spawn(self._keep_snapshot)
+            self.serve(self.node_settings.heartbeats, self._handle_upstream_request)
+        self.spawn(self._maintain_snapshot)
 
     def add_sockets(self) -> None:
-        """Adds the socket of the upstream's packets."""
+        """Adds the socket for the upstream's packets."""
         super().add_sockets()
         self.loop.add_socket(self._upstream_socket, self._on_upstream_datagram)
 
     @property
     def is_ready(self) -> bool:
-        """Whether the upstream takes new flows."""
-        return not self.is_leaving and self.upstream_state.accepts(now=self.clock())
+        """Whether the upstream accepts new flows."""
+        return not self.is_leaving and self.upstream.accepts(now=self.clock())
 
     @property
     def load(self) -> Load:
-        """Load of the upstream as its flows show it."""
+        """Load of the upstream, from its flows."""
         return self.flows.load
 
     @property
     def members_prefix(self) -> str:
-        """Entries of balancers."""
+        """Key prefix of the balancers' entries."""
         return role_prefix(Role.BALANCER)
 
     def is_wanted(self, member: Member) -> bool:
-        """Agents speak to balancers alone.
+        """Returns whether a member is a balancer, the only peers of agents.
 
-        Guards against a flood when all nodes start: most pairs of a fleet are agents,
-        and a greeting with its answer is 0.7 KB.
+        Limits the traffic when all nodes start: most pairs of a fleet are agents, and
+        a hello with its reply is 0.7 KB.
         """
         return member.role is Role.BALANCER
 
     def begin_leaving(self) -> None:
-        """Takes no new flow and ends as soon as no request runs."""
+        """Refuses new flows and schedules the end for when no request is running."""
         now = self.clock()
-        self._left_by = now
-        self.flows.is_pausing = True
-        if self.upstream_state.is_gone:
-            self.perform(self.flows.upstream_ended(now=now))
+        self._leave_deadline = now
+        self.flows.is_draining = True
+        if self.upstream.is_gone:
+            self.perform(self.flows.on_upstream_gone(now=now))
         else:
-            self._left_by += LEAVE_SECONDS_MAXIMUM
+            self._leave_deadline += MAX_LEAVE_SECONDS
         self.send_status(self.fleet.balancers())
 
     def on_message(
         self, message: PeerMessage, source: tuple[str, int], now: float
     ) -> Iterable[Action]:
-        """Takes a caller's packet, a question about its flow, or operators' orders."""
+        """Handles a caller's packet, an owner query or an operator setting."""
         if isinstance(message, Evacuations):
-            return self._take_evacuations(message, source, now=now)
+            return self._on_evacuations(message, source, now=now)
         if isinstance(message, WarmUpRate):
             self.flows.warm_up.rate = message.rate
             return ()
@@ -184,12 +184,13 @@
             return ()
         actions = self.flows.on_forward(message, segment, source, now=now)
         if self.flows.is_evacuated and message.purpose is Purpose.OPEN:
-            # A balancer that is behind learns why; one that is ahead corrects it.
+            # Updates a balancer with an older revision. One with a newer revision
+            # replies with it.
             current = encode_evacuations_message(self.evacuations.current)
             actions.append(ToPeer(source, current))
         return actions
 
-    def _take_evacuations(
+    def _on_evacuations(
         self, evacuations: Evacuations, source: tuple[str, int], *, now: float
     ) -> Iterable[Action]:
         if self.evacuations.supersedes(evacuations):
@@ -201,8 +202,8 @@
             return ()
         self.flows.is_evacuated = is_evacuated
         if not is_evacuated:
-            # It may have become cold since its last heartbeat.
-            self.upstream_state.presume_cold(now=now)
+            # The upstream may have become cold since its last heartbeat.
+            self.upstream.presume_cold(now=now)
         self.log.fact(
             "evacuated" if is_evacuated else "evacuation ended",
             revision=evacuations.revision,
@@ -212,7 +213,7 @@
         return ()
 
     def on_due(self, now: float) -> float:
-        """Tells balancers of this agent, looks after the upstream."""
+        """Sends due heartbeats to balancers and checks the upstream."""
         self.perform(self.flows.tick(now=now))
         self._update_member(now)
         if now >= self._schedule.next_due:
@@ -221,13 +222,13 @@
         due = self._schedule.next_due
         if not self.is_leaving:
             self._probe_if_late(now)
-            return min(due, now + LOOK_INTERVAL_SECONDS)
-        if now >= self._left_by or not self.flows.load.running:
+            return min(due, now + CHECK_INTERVAL_SECONDS)
+        if now >= self._leave_deadline or not self.flows.load.running:
             self.stopping.set()
-        return min(due, now + LEAVE_STEP_SECONDS)
+        return min(due, now + LEAVE_CHECK_INTERVAL_SECONDS)
 
     def send_to_upstream(self, datagram: bytes) -> None:
-        """Hands a packet to the upstream."""
+        """Sends a packet to the upstream."""
         try:
             self._upstream_socket.sendto(datagram, self._upstream_address)
         except OSError as error:
@@ -240,121 +241,121 @@
         if segment is None:
             self.log.decision("packet unreadable", source=source[0])
             return
-        self._on_sign_of_life()
+        self._on_upstream_reachable()
         self.perform(self.flows.on_upstream_segment(segment, now=now))
 
-    def _answer_upstream(self, request: HttpRequest) -> HttpReply:
+    def _handle_upstream_request(self, request: HttpRequest) -> HttpReply:
         try:
-            call = decode_upstream_call(request)
+            message = decode_upstream_call(request)
         except BadMessageError as error:
-            # Not from this instance's upstream, and as often as its writer likes.
+            # Sent by another process than this instance's upstream, at any rate.
             self.log.decision("heartbeat refused", error=str(error), path=request.path)
             return HttpReply(400)
-        if call is None:
+        if message is None:
             return HttpReply(404)
-        # Acknowledged only when it is in force: balancers were told, and the agent
-        # itself refuses new flows from now on if the upstream leaves.
-        self.loop.call(lambda: self._on_upstream_call(call)).result(CALL_SECONDS)
+        # Acknowledged only once applied: balancers have been notified, and the agent
+        # refuses new flows from now on if the upstream leaves.
+        self.loop.call(lambda: self._on_upstream_message(message)).result(
+            LOOP_CALL_TIMEOUT_SECONDS
+        )
         return HttpReply(200, ACKNOWLEDGEMENT)
 
-    def _on_upstream_call(self, call: Heartbeat | Deregistration) -> None:
+    def _on_upstream_message(self, message: Heartbeat | Deregistration) -> None:
         now = self.clock()
-        if isinstance(call, Deregistration):
-            is_current = self.upstream_state.on_end(call.incarnation)
+        if isinstance(message, Deregistration):
+            is_current = self.upstream.on_deregistration(message.incarnation)
             self.log.fact(
                 "upstream ends",
-                upstream=call.incarnation.upstream_id,
-                started_ms=call.incarnation.started_ms,
+                upstream=message.incarnation.upstream_id,
+                started_ms=message.incarnation.started_ms,
                 now=is_current,
             )
             self._update_member(now)
             return
-        self._on_heartbeat(call, now)
+        self._on_heartbeat(message, now)
 
-    def _on_heartbeat(self, call: Heartbeat, now: float) -> None:
-        effect = self.upstream_state.on_heartbeat(call, now=now)
+    def _on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        effect = self.upstream.on_heartbeat(heartbeat, now=now)
         if effect is HeartbeatEffect.IGNORED:
             self.log.decision(
                 "heartbeat ignored",
-                upstream=call.incarnation.upstream_id,
-                started_ms=call.incarnation.started_ms,
-                service=call.service_id,
-                sequence=call.sequence,
+                upstream=heartbeat.incarnation.upstream_id,
+                started_ms=heartbeat.incarnation.started_ms,
+                service=heartbeat.service_id,
+                sequence=heartbeat.sequence,
                 present_started_ms=self._present_started_ms,
             )
             return
-        self._heartbeat_at = now
+        self._last_heartbeat_at = now
         self._is_process_gone = False
         if effect is HeartbeatEffect.NONE:
             return
         self.log.fact(
             "upstream",
-            upstream=call.incarnation.upstream_id,
-            started_ms=call.incarnation.started_ms,
-            sequence=call.sequence,
-            leaving=call.is_leaving,
+            upstream=heartbeat.incarnation.upstream_id,
+            started_ms=heartbeat.incarnation.started_ms,
+            sequence=heartbeat.sequence,
+            leaving=heartbeat.is_leaving,
             effect=effect.name.lower(),
         )
         self._update_member(now)
-        self._take_first_start(self._first_start.on_heartbeat(call))
+        self._apply_first_start(self._first_start.on_heartbeat(heartbeat))
         if effect is HeartbeatEffect.REPLACED:
-            # All of its flows have passed through this process; one that follows must
-            # not take the list for that of a start before.
-            self.flows.know_all()
-            self._is_list_urgent.set()
-        if self.upstream_state.incarnation != self._verified:
-            # Asks about all flows at once: those of the start before are reset as
-            # the new one returns them, those that it has taken since live on.
-            self._verified = self.upstream_state.incarnation
+            # This process has seen all flows of the new incarnation. The next process
+            # must not apply a snapshot of an earlier incarnation to it.
+            self.flows.mark_all_known()
+            self._is_snapshot_urgent.set()
+        if self.upstream.incarnation != self._verified_incarnation:
+            # Verifies all flows at once. The new incarnation returns the flows of the
+            # previous one, which are reset; its own flows remain.
+            self._verified_incarnation = self.upstream.incarnation
             self.perform(self.flows.verify_all())
 
-    def _take_first_start(self, is_new: bool) -> None:
+    def _apply_first_start(self, is_new: bool) -> None:
         if is_new:
-            self.log.fact("upstream is new", upstream=self.upstream_state.upstream_id)
-            self.flows.know_all()
+            self.log.fact("upstream is new", upstream=self.upstream.upstream_id)
+            self.flows.mark_all_known()
 
     @property
     def _present_started_ms(self) -> int | None:
         return (
-            self.upstream_state.incarnation.started_ms
-            if self.upstream_state.incarnation
-            else None
+            self.upstream.incarnation.started_ms if self.upstream.incarnation else None
         )
 
-    def _keep_snapshot(self) -> None:
-        listed = self._snapshots.load()
-        while listed is None and not self.stopping.wait(READ_PAUSE_SECONDS):
-            listed = self._snapshots.load()
-        if listed is not None:
-            self._take_listed(listed)
+    def _maintain_snapshot(self) -> None:
+        snapshot = self._snapshots.load()
+        while snapshot is None and not self.stopping.wait(READ_PAUSE_SECONDS):
+            snapshot = self._snapshots.load()
+        if snapshot is not None:
+            self._apply_snapshot(snapshot)
         while not self.stopping.is_set():
-            is_urgent = self._is_list_urgent.wait(HAND_OVER_SECONDS)
-            self._is_list_urgent.clear()
+            is_urgent = self._is_snapshot_urgent.wait(HAND_OVER_SECONDS)
+            self._is_snapshot_urgent.clear()
             if not self.stopping.is_set():
                 self._snapshots.step(now=self.clock(), is_urgent=is_urgent)
 
-    def _take_listed(self, listed: FlowSnapshot) -> None:
-        flows = [self._restored(row) for row in listed.packets]
-        known = [flow for flow in flows if flow is not None]
-        if len(known) < len(flows):
-            self.log.fact("flow list unreadable", rows=len(flows) - len(known))
-        self.loop.call(lambda: self._restore(known, listed.incarnation))
+    def _apply_snapshot(self, snapshot: FlowSnapshot) -> None:
+        flows = [self._decode_row(row) for row in snapshot.packets]
+        readable = [flow for flow in flows if flow is not None]
+        if len(readable) < len(flows):
+            self.log.fact("flow list unreadable", rows=len(flows) - len(readable))
+        self.loop.call(lambda: self._restore(readable, snapshot.incarnation))
 
     def _restore(
         self, flows: list[RestoredFlow], incarnation: Incarnation | None
     ) -> None:
         now = self.clock()
         self.perform(self.flows.restore(flows, now=now))
-        self._take_first_start(self._first_start.on_list_read(incarnation))
+        self._apply_first_start(self._first_start.on_list_read(incarnation))
         self.log.fact("flows restored", flows=len(flows))
-        # Balancers that were heard before the list was read are told now.
-        self._told_incarnations_by_id.clear()
-        if self.upstream_state.can_be_asked(now=now):
-            self._verified = self.upstream_state.incarnation
+        # Balancers whose status arrived before the snapshot are notified now.
+        self._notified_incarnations_by_id.clear()
+        if self.upstream.can_verify_flows(now=now):
+            self._verified_incarnation = self.upstream.incarnation
             self.perform(self.flows.verify_all())
 
-    def _writer(self) -> Endpoint | None:
-        """Names the balancer of the failure domain that keeps this agent's list."""
+    def _choose_writer(self) -> Endpoint | None:
+        """Returns the balancer of the domain that writes this agent's snapshot."""
 
         def choose() -> Peer | None:
             domain = self.member.failure_domain
@@ -367,21 +368,21 @@
             return writer_of(key, near, now=self.clock())
 
         try:
-            writer = self.loop.call(choose).result(CALL_SECONDS)
+            writer = self.loop.call(choose).result(LOOP_CALL_TIMEOUT_SECONDS)
         except TimeoutError:
-            # The instance stands still; the agent writes the list itself.
+            # The event loop is stalled; the agent writes the snapshot itself.
             return None
         return writer.member.control if writer is not None else None
 
-    def _long_flows(self) -> FlowSnapshot:
+    def _collect_snapshot(self) -> FlowSnapshot:
         def collect() -> FlowSnapshot:
-            flows = self.flows.long_flows(now=self.clock())
-            rows = tuple(_row_of(flow) for flow in flows)
-            return FlowSnapshot(rows, self.upstream_state.incarnation)
+            flows = self.flows.long_lived_flows(now=self.clock())
+            rows = tuple(_encode_row(flow) for flow in flows)
+            return FlowSnapshot(rows, self.upstream.incarnation)
 
-        return self.loop.call(collect).result(CALL_SECONDS)
+        return self.loop.call(collect).result(LOOP_CALL_TIMEOUT_SECONDS)
 
-    def _restored(self, row: bytes) -> RestoredFlow | None:
+    def _decode_row(self, row: bytes) -> RestoredFlow | None:
         segment = decode_from_caller(row[:-HOST_SIZE])
         if segment is None or not segment.is_bare:
             return None
@@ -389,12 +390,12 @@
         return RestoredFlow(segment, (host, self.node_settings.peer_port))
 
     def on_peer_status(self, peer: Peer, now: float) -> Iterable[Action]:
-        """Names a balancer's flows to it, once for each of its lives."""
+        """Sends a balancer its flows, once per incarnation of the balancer."""
         member = peer.member
-        known = self._told_incarnations_by_id.get(member.member_id)
-        if member.role is not Role.BALANCER or known == member.incarnation:
+        notified = self._notified_incarnations_by_id.get(member.member_id)
+        if member.role is not Role.BALANCER or notified == member.incarnation:
             return ()
-        self._told_incarnations_by_id[member.member_id] = member.incarnation
+        self._notified_incarnations_by_id[member.member_id] = member.incarnation
         flows = self.flows.flows_via(peer.address)
         if flows:
             self.log.decision("owner told", peer=member.member_id, flows=len(flows))
@@ -402,29 +403,25 @@
         return [ToPeer(peer.address, message) for message in messages]
 
     def _update_member(self, now: float) -> None:
-        state = self.upstream_state.state(now=now)
+        state = self.upstream.state(now=now)
         if self.is_leaving:
-            state = (
-                MemberState.GONE if self.upstream_state.is_gone else MemberState.JOINING
-            )
-        weight = self.upstream_state.weight(now=now)
-        if self.change_member(
-            state=state, weight=weight, slots=self.upstream_state.slots
-        ):
+            state = MemberState.GONE if self.upstream.is_gone else MemberState.JOINING
+        weight = self.upstream.weight(now=now)
+        if self.change_member(state=state, weight=weight, slots=self.upstream.slots):
             self.send_status(self.fleet.balancers())
 
     def _probe_if_late(self, now: float) -> None:
-        """Looks for the upstream's process while its heartbeat is awaited.
+        """Probes the upstream's process while its heartbeat is overdue.
 
-        Guards against callers that wait for an upstream that crashed: a port without
-        a listener proves that the process is gone, and its flows can be reset. And
-        against an upstream that idles beside an agent that has just started: one that
-        lets the agent connect takes flows before its next heartbeat.
+        A port without a listener proves that the process has ended, so that its flows
+        can be reset and callers do not wait for a crashed upstream. An upstream that
+        accepts the connection gets flows before its next heartbeat, so that it does
+        not idle beside an agent that has just started.
         """
-        late_at = self._heartbeat_at + self.node_settings.heartbeat_interval
-        if now <= late_at + LATE_SECONDS:
+        late_at = self._last_heartbeat_at + self.node_settings.heartbeat_interval
+        if now <= late_at + LATE_HEARTBEAT_SECONDS:
             return
-        if self.upstream_state.incarnation and not self.flows.waits_for_upstream:
+        if self.upstream.incarnation and not self.flows.is_awaiting_upstream:
             return
         if not self._is_probing and now - self._probed_at >= PROBE_INTERVAL_SECONDS:
             self._probed_at = now
@@ -438,49 +435,49 @@
                 self._upstream_address, PROBE_TIMEOUT_SECONDS
             )
             connection.close()
-            self.loop.call(self._on_sign_of_life)
+            self.loop.call(self._on_upstream_reachable)
         except ConnectionRefusedError:
             self.loop.call(lambda: self._on_process_gone(started_at))
         except OSError as error:
-            # No proof either way: it may be slow, or the instance is.
+            # Inconclusive: the upstream or the instance may be slow.
             self.log.fact("upstream probe failed", error=str(error))
         finally:
             self._is_probing = False
 
-    def _on_sign_of_life(self) -> None:
-        if self.upstream_state.incarnation:
+    def _on_upstream_reachable(self) -> None:
+        if self.upstream.incarnation:
             return
         now = self.clock()
         self._is_process_gone = False
-        is_first = not self.upstream_state.accepts(now=now)
-        self.upstream_state.on_sign_of_life(now=now)
+        is_first = not self.upstream.accepts(now=now)
+        self.upstream.on_reachable(now=now)
         if is_first:
-            self.log.fact("upstream answers", service=self.upstream_state.service_id)
+            self.log.fact("upstream answers", service=self.upstream.service_id)
             self._update_member(now)
             self.perform(self.flows.verify_all())
 
     def on_stop(self) -> None:
-        """Takes the entry of an agent away that does not come back."""
+        """Ends the registration if the upstream is gone for good."""
         super().on_stop()
-        self._is_list_urgent.set()
-        if self.upstream_state.is_gone:
+        self._is_snapshot_urgent.set()
+        if self.upstream.is_gone:
             self.end_registration()
 
     def _on_process_gone(self, probed_at: float) -> None:
-        if self.flows.upstream_heard_at >= probed_at:
-            # A packet of the upstream that came meanwhile proves the opposite.
+        if self.flows.upstream_last_seen_at >= probed_at:
+            # A packet of the upstream has arrived since and proves the opposite.
             self.log.fact(
-                "upstream probe contradicted", upstream=self.upstream_state.upstream_id
+                "upstream probe contradicted", upstream=self.upstream.upstream_id
             )
             return
         if not self._is_process_gone:
             self._is_process_gone = True
-            self.log.fact(
-                "upstream process gone", upstream=self.upstream_state.upstream_id
-            )
-        self.perform(self.flows.upstream_ended(now=self.clock()))
+            self.log.fact("upstream process gone", upstream=self.upstream.upstream_id)
+        self.perform(self.flows.on_upstream_gone(now=self.clock()))
 
 
-def _row_of(flow: LongFlow) -> bytes:
-    host = socket.inet_aton(flow.via[0]) if flow.via else UNKNOWN_HOST
+def _encode_row(flow: LongLivedFlow) -> bytes:
+    host = (
+        socket.inet_aton(flow.last_balancer[0]) if flow.last_balancer else UNKNOWN_HOST
+    )
     return flow.packet + host
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -1,4 +1,4 @@
-"""What a balancer remembers of flows: a bounded cache, forgotten by age."""
+"""Caches a balancer's records of flows, bounded in size and dropped by age."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     from collections.abc import Iterator
 
 
-# A record is dropped when its flow was silent for one to two of these.
+# A record is dropped when its flow was idle for one to two of these.
 GENERATION_SECONDS = 60.0
-# Flows of a balancer at which it forgets the older half early, so that memory
-# stays bounded.
-RECORDS_MAXIMUM = 50_000
+# Number of records at which the older half is dropped early, so that memory stays
+# bounded.
+MAX_RECORDS = 50_000
 
 
 @define(eq=False)
 class Attempt:
-    """An agent that was asked to take a flow.
+    """An attempt to open a flow at an agent.
 
     Attributes:
         agent: The agent.
-        verdict: Its word; None before it came.
+        verdict: Its reply; None before it arrives.
     """
 
     agent: Peer
@@ -40,22 +40,23 @@
 
 @define(eq=False)
 class FlowRecord:
-    """What a balancer remembers of a flow.
+    """A balancer's record of a flow.
 
     Attributes:
         flow: The flow.
-        service_id: Service that was drawn for it; empty when it was not seen to open.
-        service_ids: Services that may hold it by the configuration.
-        owner: The agent whose upstream holds it, once known.
-        is_refuted: Whether an agent that was taken for the owner was not.
+        service_id: Service that was drawn for the flow; empty if its opening packet
+            was not seen.
+        service_ids: Services that may hold the flow by the configuration.
+        owner: Agent whose upstream holds the flow, once known.
+        is_refuted: Whether an agent that counted as the owner was not.
         opening: The opening packet, until the flow is open.
-        opened_at: When that came, seconds.
-        attempts: Agents asked to take it.
-        request_parameters: What callers on its route want.
-        search: The search for its owner, if there is one.
-        acknowledged: What the caller acknowledged last.
-        owner_header: What goes before each packet for the owner, once it was worked
-            out: most packets of a balancer are of open flows.
+        opened_at: Time of arrival of the opening packet, seconds.
+        attempts: Attempts to open the flow, one per agent.
+        request_parameters: Request parameters of the flow's route.
+        search: The owner lookup in progress, if any.
+        acknowledged: Number that the caller acknowledged last.
+        owner_header: Cached header of packets for the owner, since most packets of a
+            balancer belong to open flows.
     """
 
     flow: bytes
@@ -73,10 +74,10 @@
 
     @property
     def sole_acceptor(self) -> Peer | None:
-        """The agent that took it, if no other one was asked.
+        """The agent that accepted the flow, if it was the only attempt.
 
-        Another balancer may have asked others as well: the one that was taken for the
-        owner says so, and counts no more then.
+        Another balancer may have tried other agents as well. The assumed owner then
+        reports that it is not the owner and is no longer returned.
         """
         if self.is_refuted:
             return None
@@ -85,7 +86,7 @@
         return None
 
     def find_attempt(self, agent: Peer) -> Attempt | None:
-        """Finds the attempt with an agent."""
+        """Returns the attempt with an agent, if any."""
         for attempt in self.attempts:
             if attempt.agent is agent:
                 return attempt
@@ -95,12 +96,12 @@
 class FlowRecords:
     """Records by flow in two generations.
 
-    The old generation is dropped when the young one takes its place; a record that is
-    found moves to the young one.
+    The old generation is dropped when the young one replaces it. A record that is
+    looked up moves to the young generation.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes an empty cache."""
         self._young: dict[bytes, FlowRecord] = {}
         self._old: dict[bytes, FlowRecord] = {}
         self._generation_at = 0.0
@@ -114,17 +115,17 @@
 
     @property
     def due(self) -> float:
-        """When `drop_idle` is needed next: clock reading, seconds."""
+        """Clock reading at which `drop_idle` is due next, seconds."""
         return self._generation_at + GENERATION_SECONDS
 
     def find(self, flow: bytes) -> FlowRecord | None:
-        """Finds a flow's record, which counts as used now.
+        """Returns the record of a flow and marks it as used.
 
         Args:
             flow: The flow.
 
         Returns:
-            The record; None if the flow is not known.
+            The record; None if the flow is unknown.
         """
         record = self._young.get(flow)
         if record is not None:
@@ -135,15 +136,15 @@
         return record
 
     def add(self, record: FlowRecord) -> FlowRecord:
-        """Adds a record in place of any other of its flow.
+        """Adds a record and replaces any other of its flow.
 
         Args:
             record: The record.
 
         Returns:
-            The same.
+            The same record.
         """
-        if len(self._young) >= RECORDS_MAXIMUM // 2:
+        if len(self._young) >= MAX_RECORDS // 2:
             self._old = self._young
             self._young = {}
         self._old.pop(record.flow, None)
@@ -151,7 +152,7 @@
         return record
 
     def drop(self, flow: bytes) -> None:
-        """Forgets a flow.
+        """Removes the record of a flow.
 
         Args:
             flow: The flow.
@@ -160,7 +161,7 @@
         self._old.pop(flow, None)
 
     def drop_idle(self, *, now: float) -> None:
-        """Drops the old generation if its time has come.
+        """Drops the old generation when it is due.
 
         Args:
             now: Clock reading, seconds.
--- a/src/siskinshift/connections/graceful_shutdown.py
+++ b/src/siskinshift/connections/graceful_shutdown.py
@@ -1,10 +1,10 @@
-"""When a balancer that was told to end says that it is not ready, and when it ends.
+"""Decides when a terminating balancer reports not ready and when its process ends.
 
-Pattern: balancers are restarted in turn. Routers take one that says not ready out of
-rotation, but as soon as fewer than half of a failure domain's balancers are left they
-send to all of them again, the stopped ones included. Without the wait below, the second
-of three that leaves sends a third of the domain's packets to the first one, which is
-not back yet.
+Balancers are restarted one after the other. Routers take one that reports not ready out
+of rotation, but as soon as fewer than half of a failure domain's balancers are ready,
+they send to all of them again, including the stopped ones. Without the wait below, the
+second of three that terminates sends a third of the domain's packets to the first one,
+which is not ready again yet.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
     from siskinshift.connections.fleet import Peer
 
 
-# Routers probe each half second, and two misses take a balancer out of rotation.
+# Routers probe every half second, and two failures take a balancer out of rotation.
 ROTATION_SECONDS = 1.6
-# Packets that the routers sent before that have arrived after this.
+# Packets that routers sent before that have arrived after this.
 QUIET_SECONDS = 0.5
-# Left of the time until the process is killed, for its clean-up.
-RESERVE_SECONDS = 0.8
+# Reserved for clean-up before the process is killed.
+CLEANUP_SECONDS = 0.8
 
 
 @define(eq=False)
 class GracefulShutdown:
-    """A planned end of a balancer.
+    """State of a balancer's planned shutdown.
 
     Attributes:
-        started_at: When the process was told to end, seconds.
-        leave_seconds: Time from then until it is killed.
-        not_ready_at: Since when it has said not ready; None before.
+        started_at: Time at which the shutdown was requested, seconds.
+        leave_seconds: Time from then until the process is killed.
+        not_ready_at: Time since which it has reported not ready; None before.
     """
 
     started_at: float
@@ -46,23 +46,23 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the balancer says not ready."""
+        """Whether the balancer reports not ready."""
         return self.not_ready_at is not None
 
     def may_end(
         self, peers: Collection[Peer], *, received_at: float, now: float
     ) -> bool:
-        """Decides on the next step.
+        """Reports not ready when possible and returns whether the process may end.
 
         Args:
             peers: The other balancers of the failure domain.
-            received_at: When the last packet of a caller came, seconds.
+            received_at: Time of the last packet of a caller, seconds.
             now: Clock reading, seconds.
 
         Returns:
             Whether the process may end now.
         """
-        end_by = self.started_at + self.leave_seconds - RESERVE_SECONDS
+        end_by = self.started_at + self.leave_seconds - CLEANUP_SECONDS
         if self.not_ready_at is None:
             must_begin = now >= end_by - ROTATION_SECONDS
             if must_begin or _can_spare_one(peers, now=now):
@@ -70,8 +70,8 @@
             return False
         if now >= end_by:
             return True
-        rotated_at = self.not_ready_at + ROTATION_SECONDS
-        return now >= max(rotated_at, received_at + QUIET_SECONDS)
+        out_of_rotation_at = self.not_ready_at + ROTATION_SECONDS
+        return now >= max(out_of_rotation_at, received_at + QUIET_SECONDS)
 
 
 def _can_spare_one(peers: Collection[Peer], *, now: float) -> bool:
@@ -79,5 +79,5 @@
         peer.member.state is MemberState.READY and not peer.is_silent(now=now)
         for peer in peers
     )
-    # One that serves alone can't wait for others: neighbouring domains take over.
+    # A balancer without peers need not wait: neighbouring domains take over.
     return not peers or 2 * ready >= len(peers) + 1
--- a/src/siskinshift/connections/incarnation.py
+++ b/src/siskinshift/connections/incarnation.py
@@ -1,4 +1,4 @@
-"""Which start of an upstream says something: the one place that compares starts."""
+"""Compares incarnations, the starts of an upstream; no other module does."""
 
 from __future__ import annotations
 
@@ -9,18 +9,17 @@
 
 
 class Relation(Enum):
-    """How a start that speaks relates to the one that is known.
+    """Relation of an incarnation to the known one.
 
-    SAME: it is the known one. LATER: it has taken the known one's place. EARLIER: it
-    ran before the known one, or its instance's time of day is behind. UNTOLD: it does
-    not say when it started although the known one did, so whose word it is can't be
-    told.
+    SAME: it is the known one. LATER: it has replaced the known one. EARLIER: it ran
+    before the known one, or the wall clock of its instance is behind. UNKNOWN: it has
+    no start time although the known one has, so the two cannot be compared.
     """
 
     SAME = auto()
     LATER = auto()
     EARLIER = auto()
-    UNTOLD = auto()
+    UNKNOWN = auto()
 
 
 @frozen
@@ -28,30 +27,29 @@
     """One start of an upstream.
 
     Attributes:
-        upstream_id: Its id, which a later start may have again.
-        started_ms: Time of day of its start, Unix milliseconds; None if it does not
-            tell.
+        upstream_id: Id of the upstream, which a later start may reuse.
+        started_ms: Time of the start, Unix milliseconds; None if not reported.
     """
 
     upstream_id: str
     started_ms: int | None = None
 
     def relation_to(self, known: Incarnation) -> Relation:
-        """Compares this start, which speaks, with the known one.
+        """Compares this incarnation with the known one.
 
         Args:
-            known: The start that is known.
+            known: The known incarnation.
 
         Returns:
-            What it is to that one. Another id is always later: ids are not drawn
-            twice, and whoever ended is remembered by the caller.
+            The relation. Another id is always later: ids are not drawn twice, and the
+            calling code keeps the incarnations that have ended.
         """
         if self == known:
             return Relation.SAME
         if self.upstream_id != known.upstream_id:
             return Relation.LATER
         if self.started_ms is None:
-            return Relation.UNTOLD
+            return Relation.UNKNOWN
         if known.started_ms is None or self.started_ms > known.started_ms:
             return Relation.LATER
         return Relation.EARLIER
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -1,4 +1,4 @@
-"""Flows as an agent knows them: its own, and listed ones."""
+"""Holds the state of an agent's flows and the records of flow snapshots."""
 
 from __future__ import annotations
 
@@ -12,111 +12,113 @@
 from siskinshift.connections.segment import is_between
 
 
-# An end has 16 packets of 1,200 bytes in flight at most; this is several times that.
-IN_FLIGHT_MAXIMUM = 1 << 17
-# What an upstream may have sent unseen by this process: seconds at 100 Mbit/s.
-UNSEEN_WINDOW = 1 << 26
+# A sender has at most 16 packets of 1,200 bytes in flight; this is several times that.
+MAX_IN_FLIGHT_BYTES = 1 << 17
+# Data that an upstream may have sent unseen by this process: seconds at 100 Mbit/s.
+MAX_UNSEEN_BYTES = 1 << 26
 
 
 @define(eq=False)
 class OwnedFlow:
-    """A flow of the agent's upstream.
+    """State of a flow of the agent's upstream.
 
     Attributes:
-        opened_at: When it began, seconds.
-        used_at: When a packet was last seen, seconds.
-        lowest: Least number that a caller may acknowledge; None before the upstream's
-            answer.
-        highest: Number that follows the upstream's newest data.
-        is_confirmed: Whether the upstream has held the flow open for certain.
-        opener: Balancer that sent the opening packet; None once it was told.
-        via: Balancer that sent the newest packet; None if it is not known.
-        acknowledged: What the caller acknowledged last.
-        bare_packet: A caller's packet without data: it can be sent to the upstream
-            again at any time to see whether it still holds the flow.
-        sent_up_to: Sequence number that follows the caller's newest data.
-        ends_seen: FIN of the caller (1) and of the upstream (2).
-        ended_at: When the flow ended; 0 while it is open.
+        opened_at: Time at which the flow began, seconds.
+        used_at: Time of the last packet, seconds.
+        min_ack: Lowest number that the caller may acknowledge; None before the
+            upstream's response.
+        max_ack: Number that follows the upstream's newest data.
+        is_confirmed: Whether the upstream has certainly held the flow open.
+        opening_balancer: Balancer that sent the opening packet; None once it has been
+            notified.
+        last_balancer: Balancer that sent the newest packet; None if unknown.
+        acknowledged: Number that the caller acknowledged last.
+        verification_packet: Packet of the caller without data. It can be sent to the
+            upstream again at any time to verify that it still holds the flow.
+        next_caller_sequence: Sequence number that follows the caller's newest data.
+        fins_seen: FIN of the caller (1) and of the upstream (2).
+        ended_at: Time at which the flow ended; 0 while it is open.
     """
 
     opened_at: float
     used_at: float
-    lowest: int | None = None
-    highest: int = 0
+    min_ack: int | None = None
+    max_ack: int = 0
     is_confirmed: bool = False
-    opener: tuple[str, int] | None = None
-    via: tuple[str, int] | None = None
+    opening_balancer: tuple[str, int] | None = None
+    last_balancer: tuple[str, int] | None = None
     acknowledged: int = 0
-    bare_packet: bytes = b""
-    sent_up_to: int | None = None
-    ends_seen: int = 0
+    verification_packet: bytes = b""
+    next_caller_sequence: int | None = None
+    fins_seen: int = 0
     ended_at: float = 0.0
 
-    def acknowledges_it(self, ack: int) -> bool:
-        """Says whether a caller's packet is of this upstream's flow.
+    def matches_acknowledgement(self, ack: int) -> bool:
+        """Returns whether a caller's packet belongs to this upstream's flow.
 
-        Two upstreams may answer one opening packet. The numbers they draw may lie
-        near each other, so only what this upstream has sent counts.
+        Two upstreams may respond to one opening packet, and their initial sequence
+        numbers may be close to each other, so only numbers that this upstream has
+        sent are accepted.
 
         Args:
-            ack: What the caller acknowledges.
+            ack: Number that the caller acknowledges.
 
         Returns:
-            Whether this upstream sent just that.
+            Whether this upstream has sent that number.
         """
-        return self.lowest is not None and is_between(ack, self.lowest, self.highest)
+        return self.min_ack is not None and is_between(ack, self.min_ack, self.max_ack)
 
-    def note_upstream(self, segment: Segment) -> None:
-        """Takes note of what the upstream has sent.
+    def record_upstream_packet(self, segment: Segment) -> None:
+        """Updates the range of valid acknowledgements by a packet of the upstream.
 
         Args:
-            segment: Its packet.
+            segment: The packet.
         """
         follows = segment.follows
         if not segment.flags & SYN:
             self.is_confirmed = True
-        if self.lowest is None:
+        if self.min_ack is None:
             if segment.flags & SYN:
-                self.lowest = self.highest = follows
+                self.min_ack = self.max_ack = follows
             else:
-                self.begin_in_the_middle(follows)
-        elif is_after(follows, self.highest):
-            self.highest = follows
+                self.adopt_at(follows)
+        elif is_after(follows, self.max_ack):
+            self.max_ack = follows
 
-    def begin_in_the_middle(self, number: int) -> None:
-        """Takes note of a flow that opened before this process knew of it.
+    def adopt_at(self, number: int) -> None:
+        """Adopts a flow that opened before this process tracked it.
 
-        Its upstream holds it, so no other one can: the range may be wide. It has to
-        be, since the first packet seen may be a copy of an old one.
+        The upstream holds the flow, so no other one can, and the range may be wide. It
+        has to be, since the first packet seen may be a copy of an old one.
 
         Args:
-            number: A number that the upstream has reached.
+            number: A sequence number that the upstream has reached.
         """
-        self.lowest = (number - IN_FLIGHT_MAXIMUM) % SEQUENCE_SPACE
-        self.highest = (number + UNSEEN_WINDOW) % SEQUENCE_SPACE
+        self.min_ack = (number - MAX_IN_FLIGHT_BYTES) % SEQUENCE_SPACE
+        self.max_ack = (number + MAX_UNSEEN_BYTES) % SEQUENCE_SPACE
 
 
 @frozen
-class LongFlow:
-    """A flow that its caller keeps, as it is listed for the agent's successor.
+class LongLivedFlow:
+    """A flow that its caller keeps open, for the snapshot that a restarted agent reads.
 
     Attributes:
-        packet: A packet of the caller that can be sent to the upstream at any time.
-        via: Balancer that sent the newest packet; None if it is not known.
+        packet: Packet of the caller that can be sent to the upstream at any time.
+        last_balancer: Balancer that sent the newest packet; None if unknown.
     """
 
     packet: bytes
-    via: tuple[str, int] | None
+    last_balancer: tuple[str, int] | None
 
 
 @frozen
 class RestoredFlow:
-    """A flow from the list of the process before this one.
+    """A flow from the snapshot of the previous process.
 
     Attributes:
-        segment: A packet of the caller.
-        via: Balancer that sent the newest packet; None if it is not known.
+        segment: Packet of the caller.
+        last_balancer: Balancer that sent the newest packet; None if unknown.
     """
 
     segment: Segment
-    via: tuple[str, int] | None = None
+    last_balancer: tuple[str, int] | None = None
--- a/src/siskinshift/connections/owned_flows.py
+++ b/src/siskinshift/connections/owned_flows.py
@@ -1,10 +1,10 @@
-"""The flows that one agent knows of its upstream."""
+"""Stores the flows that an agent tracks for its upstream."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.owned_flow import LongFlow
+from siskinshift.connections.owned_flow import LongLivedFlow
 from siskinshift.connections.owned_flow import OwnedFlow
 
 
@@ -12,149 +12,158 @@
     from siskinshift.connections.request_queue import RequestQueue
 
 
-# An ended flow is remembered this long: late copies of its last packets find it.
+# Ended flows are kept this long for delayed copies of their last packets.
 LINGER_SECONDS = 3.0
-# A flow that lives for this long is one that its caller keeps for many requests.
-LONG_AFTER_SECONDS = 1.5
-# A flow that was silent for this long is forgotten; flows live a minute at most.
-IDLE_SECONDS = 90.0
-# Both ends have said that they are done.
-BOTH_ENDS = 3
+# A flow of this age is one that its caller keeps open for many requests.
+LONG_LIVED_AFTER_SECONDS = 1.5
+# Flows without packets are dropped after this; flows last a minute at most.
+IDLE_TIMEOUT_SECONDS = 90.0
+# FIN of the caller (1) and of the upstream (2).
+BOTH_FINS = 3
 
 
 class OwnedFlows:
-    """Flows by name, and how many of them are open.
+    """Flows of one upstream by key, and the number of open ones.
 
     Attributes:
-        open_count: Flows that have not ended.
+        open_count: Number of flows that have not ended.
     """
 
     def __init__(self, queue: RequestQueue) -> None:
-        """Knows none.
+        """Initializes an empty store.
 
         Args:
-            queue: Holds the requests of the flows; told when one ends.
+            queue: Queue of the requests; those of ended flows are removed from it.
         """
         self.open_count = 0
         self._queue = queue
-        self._flows: dict[bytes, OwnedFlow] = {}
+        self._flows_by_key: dict[bytes, OwnedFlow] = {}
 
-    def __contains__(self, name: bytes) -> bool:
-        return name in self._flows
+    def __contains__(self, key: bytes) -> bool:
+        return key in self._flows_by_key
 
-    def get(self, name: bytes) -> OwnedFlow | None:
-        """Finds a flow.
+    def get(self, key: bytes) -> OwnedFlow | None:
+        """Returns the state of a flow, or None if it is unknown.
 
         Args:
-            name: The flow.
+            key: Key of the flow.
         """
-        return self._flows.get(name)
+        return self._flows_by_key.get(key)
 
-    def add(self, name: bytes, *, now: float) -> OwnedFlow:
+    def add(self, key: bytes, *, now: float) -> OwnedFlow:
         """Adds an open flow.
 
         Args:
-            name: The flow.
+            key: Key of the flow.
             now: Clock reading, seconds.
 
         Returns:
-            What is known of it.
+            The state of the flow.
         """
         flow = OwnedFlow(now, now)
-        self._flows[name] = flow
+        self._flows_by_key[key] = flow
         self.open_count += 1
         return flow
 
-    def end(self, name: bytes, flow: OwnedFlow, *, now: float) -> None:
-        """Takes note that a flow has ended; it is remembered for a moment.
+    def end(self, key: bytes, flow: OwnedFlow, *, now: float) -> None:
+        """Marks a flow as ended; its state is kept for `LINGER_SECONDS`.
 
         Args:
-            name: The flow.
-            flow: What is known of it.
+            key: Key of the flow.
+            flow: State of the flow.
             now: Clock reading, seconds.
         """
-        self._queue.finished(name, now=now)
+        self._queue.finish(key, now=now)
         if flow.ended_at:
             return
         flow.ended_at = now
         self.open_count -= 1
 
-    def end_if_closed(self, name: bytes, flow: OwnedFlow, *, now: float) -> None:
-        """Ends a flow if both ends have said that they are done; see `end`."""
-        if flow.ends_seen == BOTH_ENDS:
-            self.end(name, flow, now=now)
+    def end_if_closed(self, key: bytes, flow: OwnedFlow, *, now: float) -> None:
+        """Ends a flow if both sides have sent FIN; see `end`."""
+        if flow.fins_seen == BOTH_FINS:
+            self.end(key, flow, now=now)
 
     def end_all(self, *, now: float) -> list[tuple[bytes, OwnedFlow]]:
-        """Ends and forgets all flows.
+        """Ends and removes all flows.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Those that were open.
+            The flows that were open.
         """
-        is_open = [(name, f) for name, f in self._flows.items() if not f.ended_at]
-        for name, flow in is_open:
-            self.end(name, flow, now=now)
-        self._flows.clear()
-        return is_open
+        open_flows = [
+            (key, f) for key, f in self._flows_by_key.items() if not f.ended_at
+        ]
+        for key, flow in open_flows:
+            self.end(key, flow, now=now)
+        self._flows_by_key.clear()
+        return open_flows
 
-    def remove(self, name: bytes, *, now: float) -> None:
-        """Ends and forgets a flow.
+    def remove(self, key: bytes, *, now: float) -> None:
+        """Ends and removes a flow.
 
         Args:
-            name: The flow.
+            key: Key of the flow.
             now: Clock reading, seconds.
         """
-        self.end(name, self._flows[name], now=now)
-        del self._flows[name]
+        self.end(key, self._flows_by_key[key], now=now)
+        del self._flows_by_key[key]
 
     def sweep(self, *, now: float) -> None:
-        """Forgets flows that ended or fell silent a while ago.
+        """Removes flows that ended or became idle a while ago.
 
         Args:
             now: Clock reading, seconds.
         """
-        for name, flow in tuple(self._flows.items()):
+        for key, flow in tuple(self._flows_by_key.items()):
             if flow.ended_at and now - flow.ended_at > LINGER_SECONDS:
-                del self._flows[name]
-            elif now - flow.used_at > IDLE_SECONDS:
-                self.remove(name, now=now)
+                del self._flows_by_key[key]
+            elif now - flow.used_at > IDLE_TIMEOUT_SECONDS:
+                self.remove(key, now=now)
 
-    def bare_packets(self) -> list[bytes]:
-        """Lists a packet without data of each open flow that has one."""
-        return [f.bare_packet for f in self._flows.values() if _can_be_asked(f)]
+    def verification_packets(self) -> list[bytes]:
+        """Returns the verification packet of each open flow that has one."""
+        return [
+            f.verification_packet
+            for f in self._flows_by_key.values()
+            if _can_be_verified(f)
+        ]
 
-    def long_ones(self, *, now: float) -> list[LongFlow]:
-        """Lists the flows that their callers keep.
+    def long_lived_flows(self, *, now: float) -> list[LongLivedFlow]:
+        """Returns the long-lived flows that can be verified.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            The flows, each with a packet without data.
+            The flows, each with its verification packet.
         """
         return [
-            LongFlow(flow.bare_packet, flow.via)
-            for flow in self._flows.values()
-            if _can_be_asked(flow) and now - flow.opened_at > LONG_AFTER_SECONDS
+            LongLivedFlow(flow.verification_packet, flow.last_balancer)
+            for flow in self._flows_by_key.values()
+            if _can_be_verified(flow)
+            and now - flow.opened_at > LONG_LIVED_AFTER_SECONDS
         ]
 
-    def via(self, balancer: tuple[str, int]) -> list[bytes]:
-        """Names open flows whose newest packet came from a balancer.
+    def flows_via(self, balancer: tuple[str, int]) -> list[bytes]:
+        """Returns the open flows whose newest packet came from a balancer.
 
         Args:
-            balancer: Where its messages come from.
+            balancer: Address of the balancer.
 
         Returns:
-            The flows.
+            Keys of the flows.
         """
         return [
-            name
-            for name, flow in self._flows.items()
-            if flow.via == balancer and flow.is_confirmed and not flow.ended_at
+            key
+            for key, flow in self._flows_by_key.items()
+            if flow.last_balancer == balancer
+            and flow.is_confirmed
+            and not flow.ended_at
         ]
 
 
-def _can_be_asked(flow: OwnedFlow) -> bool:
-    return bool(flow.bare_packet) and not flow.ended_at
+def _can_be_verified(flow: OwnedFlow) -> bool:
+    return bool(flow.verification_packet) and not flow.ended_at
--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -1,9 +1,9 @@
-"""The upstream beside an agent, as its heartbeats tell of it.
+"""Tracks the incarnation and state of an agent's upstream by its heartbeats.
 
-Each start of an upstream is an incarnation: an id, which a later start may have again,
-and the time of its start. Heartbeats may be late: one of an incarnation that has ended
-must not bring it back, and an older one of the same incarnation must not undo that it
-is leaving. Numbers of heartbeats begin anew with each incarnation.
+Each start of an upstream is an incarnation: an id, which a later start may reuse, and
+the time of the start. Heartbeats may be delayed: one of an ended incarnation must not
+bring it back, and an older one of the same incarnation must not revert its leaving
+state. Sequence numbers of heartbeats restart with each incarnation.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 from siskinshift.messages.core import MemberState
 
 
-# Heartbeats missed after which the upstream counts as silent: new flows go elsewhere
-# while it is not known whether it lives.
-MISSED_HEARTBEATS = 3
-# Ended incarnations remembered; heartbeats are late by seconds, and an upstream does
-# not start this often within them.
-ENDED_KEPT = 64
-# Weight while the upstream says that it is still cold: work takes about 1.6 times as
+# Missed heartbeats after which the upstream counts as unresponsive: new flows go
+# elsewhere until it responds again.
+MAX_MISSED_HEARTBEATS = 3
+# Ended incarnations kept. Heartbeats are delayed by seconds at most, and an upstream
+# does not start this often within that time.
+MAX_ENDED_INCARNATIONS = 64
+# Weight while the upstream reports that it is cold: requests take about 1.6 times as
 # long then.
 COLD_WEIGHT = FULL_WEIGHT * 5 // 8
 
 
 @frozen
 class Heartbeat:
-    """What an upstream says of itself.
+    """A heartbeat of an upstream.
 
     Attributes:
-        incarnation: The start that speaks.
-        service_id: The service it belongs to.
-        sequence: Raised with each heartbeat.
-        slots: Requests it runs at once.
-        is_leaving: Whether it will end soon.
-        cold_seconds: How much longer it is slow after its start.
+        incarnation: Incarnation that sent it.
+        service_id: Service of the upstream.
+        sequence: Number that increases with each heartbeat.
+        slots: Requests that the upstream runs at once.
+        is_leaving: Whether the upstream is about to end.
+        cold_seconds: Time for which the upstream remains slow after its start.
     """
 
     incarnation: Incarnation
@@ -54,20 +54,20 @@
 
 @frozen
 class Deregistration:
-    """An upstream says that it ends now.
+    """A notification that an upstream ends now.
 
     Attributes:
-        incarnation: The start that ends.
+        incarnation: Incarnation that ends.
     """
 
     incarnation: Incarnation
 
 
 class HeartbeatEffect(Enum):
-    """What a heartbeat has changed.
+    """Effect of a heartbeat on the state.
 
-    REPLACED: another incarnation than before runs, whose flows are its own. IGNORED:
-    it is not a word of the present incarnation, or an old one.
+    REPLACED: another incarnation runs, which holds none of the earlier flows. IGNORED:
+    the heartbeat is outdated or not of the current incarnation.
     """
 
     NONE = auto()
@@ -77,21 +77,21 @@
 
 
 class UpstreamState:
-    """The upstream's incarnation and state.
+    """Incarnation and state of an upstream.
 
     Attributes:
-        incarnation: Present one; None before the first heartbeat.
-        service_id: Service of the upstream, by the settings.
-        slots: Requests it runs at once.
-        is_leaving: Whether the present incarnation said that it leaves.
-        is_gone: Whether it said that it ends.
+        incarnation: Current incarnation; None before the first heartbeat.
+        service_id: Service of the upstream, from the settings.
+        slots: Requests that the upstream runs at once.
+        is_leaving: Whether the current incarnation reported that it leaves.
+        is_gone: Whether the current incarnation has deregistered.
     """
 
     def __init__(self, *, service_id: str, heartbeat_interval: float) -> None:
-        """Knows of no incarnation yet.
+        """Initializes the state without an incarnation.
 
         Args:
-            service_id: Service by the settings.
+            service_id: Service of the upstream.
             heartbeat_interval: Seconds between two heartbeats.
         """
         self.incarnation: Incarnation | None = None
@@ -99,32 +99,32 @@
         self.slots = 1
         self.is_leaving = False
         self.is_gone = False
-        self._silence = MISSED_HEARTBEATS * heartbeat_interval
+        self._heartbeat_timeout = MAX_MISSED_HEARTBEATS * heartbeat_interval
         self._sequence = -1
-        self._heard_at = float("-inf")
-        self._signed_at = float("-inf")
+        self._last_heartbeat_at = float("-inf")
+        self._reachable_at = float("-inf")
         self._cold_until = float("-inf")
         self._presumed_cold_until = float("-inf")
         self._ended: OrderedDict[Incarnation, None] = OrderedDict()
 
     @property
     def upstream_id(self) -> str:
-        """Id of the present incarnation; empty before the first heartbeat."""
+        """Id of the current incarnation; empty before the first heartbeat."""
         return self.incarnation.upstream_id if self.incarnation else ""
 
     def on_heartbeat(self, heartbeat: Heartbeat, *, now: float) -> HeartbeatEffect:
-        """Takes a heartbeat.
+        """Applies a heartbeat.
 
         Args:
             heartbeat: The heartbeat.
             now: Clock reading, seconds.
 
         Returns:
-            What it has changed.
+            Its effect.
         """
         if heartbeat.service_id != self.service_id:
-            # Not a word of the upstream on this instance: it would take its place
-            # and serve nobody, since balancers ask for the service of the settings.
+            # Not sent by the upstream of this instance. It would replace that upstream
+            # and get no flows, since balancers use the service of the settings.
             return HeartbeatEffect.IGNORED
         effect = HeartbeatEffect.NONE
         if self.incarnation is None:
@@ -134,12 +134,12 @@
         elif heartbeat.sequence <= self._sequence:
             return HeartbeatEffect.IGNORED
         if effect is not HeartbeatEffect.NONE:
-            if not self._may_begin(heartbeat.incarnation, now=now):
+            if not self._may_replace(heartbeat.incarnation, now=now):
                 return HeartbeatEffect.IGNORED
-            self._begin(heartbeat.incarnation)
+            self._switch_to(heartbeat.incarnation)
         before = (self.slots, self.is_leaving, self.accepts(now=now))
         self._sequence = heartbeat.sequence
-        self._heard_at = now
+        self._last_heartbeat_at = now
         self._cold_until = now + heartbeat.cold_seconds
         self._presumed_cold_until = float("-inf")
         self.slots = heartbeat.slots
@@ -149,38 +149,39 @@
             return HeartbeatEffect.CHANGED
         return effect
 
-    def on_sign_of_life(self, *, now: float) -> None:
-        """Takes note that the upstream's process answers.
+    def on_reachable(self, *, now: float) -> None:
+        """Records that the upstream's process is reachable.
 
-        Counts until the first heartbeat alone. An agent that starts beside a running
-        upstream waits for that for 0.77 s at the users' sites, and meanwhile callers
-        would be turned away beside a free upstream. One that leaves says so again in
-        that heartbeat, and serves what it has taken until then.
+        Used only until the first heartbeat. An agent that starts beside a running
+        upstream waits up to 0.77 s for that heartbeat at the users' sites, and callers
+        would be refused meanwhile although the upstream is free. An upstream that
+        leaves reports it again in that heartbeat and serves the flows that it has
+        accepted until then.
 
         Args:
             now: Clock reading, seconds.
         """
-        self._signed_at = now
+        self._reachable_at = now
 
-    def on_end(self, ending: Incarnation) -> bool:
-        """Takes note that an incarnation ends of its own accord.
+    def on_deregistration(self, ended: Incarnation) -> bool:
+        """Applies the planned end of an incarnation.
 
         Args:
-            ending: The incarnation.
+            ended: The incarnation.
 
         Returns:
-            Whether it is the present one. A notice that does not tell its start is
-            taken for the present one's only when that has said that it leaves: a
-            late notice of a start before would put an end to a living upstream.
+            Whether it is the current one. A deregistration without a start time
+            applies to the current incarnation only if that has reported that it
+            leaves: a delayed one of an earlier start would end a live upstream.
         """
         if self.incarnation is None:
-            # Its end came before any heartbeat: the agent has restarted meanwhile.
-            self.incarnation = ending
-        relation = ending.relation_to(self.incarnation)
+            # No heartbeat has arrived yet, since the agent has restarted.
+            self.incarnation = ended
+        relation = ended.relation_to(self.incarnation)
         is_present = relation is Relation.SAME
-        if relation is Relation.UNTOLD:
+        if relation is Relation.UNKNOWN:
             is_present = self.is_leaving
-        self._remember_ended(self.incarnation if is_present else ending)
+        self._add_ended(self.incarnation if is_present else ended)
         if not is_present:
             return False
         self.is_leaving = True
@@ -188,102 +189,105 @@
         return True
 
     def accepts(self, *, now: float) -> bool:
-        """Says whether the upstream may get new flows.
+        """Returns whether the upstream may get new flows.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether it is known, not leaving and heard lately.
+            Whether it is known, responsive and not leaving.
         """
         return self.state(now=now) is MemberState.READY
 
-    def can_be_asked(self, *, now: float) -> bool:
-        """Says whether an incarnation is there that can be asked about its flows.
+    def can_verify_flows(self, *, now: float) -> bool:
+        """Returns whether flows can be verified with the upstream.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether one is known, also while it leaves, or its process answers.
+            Whether an incarnation is known, even a leaving one, or its process is
+            reachable.
         """
         return self.incarnation is not None or self.accepts(now=now)
 
     def state(self, *, now: float) -> MemberState:
-        """Names the state that peers are told.
+        """Returns the state that is reported to peers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            JOINING before the first sign of life and while it is silent.
+            JOINING before the first contact and while the upstream is unresponsive.
         """
         if self.is_leaving:
             return MemberState.DRAINING
-        heard_at = self._heard_at if self.incarnation else self._signed_at
-        if now - heard_at > self._silence:
+        last_seen_at = (
+            self._last_heartbeat_at if self.incarnation else self._reachable_at
+        )
+        if now - last_seen_at > self._heartbeat_timeout:
             return MemberState.JOINING
         return MemberState.READY
 
     def weight(self, *, now: float) -> int:
-        """Gives the part of new flows that the upstream should get.
+        """Returns the weight of the upstream in the placement of new flows.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Thousandths of a warm upstream's; one that has not told counts as cold.
+            Thousandths of a warm upstream's share; it counts as cold before its first
+            heartbeat.
         """
         is_cold = self.incarnation is None or now < self._cold_until
         return COLD_WEIGHT if is_cold else FULL_WEIGHT
 
     def may_be_cold(self, *, now: float) -> bool:
-        """Says whether the upstream may still be slow after its start.
+        """Returns whether the upstream may still be slow after its start.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether it reported so, has not reported yet, or is presumed to be.
+            Whether it reported so, has not reported yet, or is presumed to be cold.
         """
         is_warm = self.weight(now=now) == FULL_WEIGHT
         return not is_warm or now < self._presumed_cold_until
 
     def presume_cold(self, *, now: float) -> None:
-        """Takes the upstream for cold until its next heartbeat.
+        """Treats the upstream as cold until its next heartbeat.
 
         Args:
             now: Clock reading, seconds.
         """
-        self._presumed_cold_until = now + self._silence
+        self._presumed_cold_until = now + self._heartbeat_timeout
 
-    def _may_begin(self, speaking: Incarnation, *, now: float) -> bool:
-        """Says whether another start than the present one may take its place.
+    def _may_replace(self, candidate: Incarnation, *, now: float) -> bool:
+        """Returns whether another incarnation may replace the current one.
 
-        Guards against late words of a start that is over: they would undo what the
-        present one said, and its flows would be asked for in vain. A later start
-        whose time of day is behind looks just like them, but does not stop to speak
-        while the one before it is silent: then it is believed, so that a clock that
-        jumped back costs three heartbeats and not the upstream.
+        Delayed heartbeats of an ended start must not revert the state of the current
+        one. A later start whose wall clock is behind looks like an earlier one, but
+        keeps sending while the current one is unresponsive. It is accepted then, so
+        that a clock that jumps back costs three heartbeats and not the upstream.
         """
-        if speaking in self._ended:
+        if candidate in self._ended:
             return False
         if self.incarnation is None:
             return True
-        relation = speaking.relation_to(self.incarnation)
+        relation = candidate.relation_to(self.incarnation)
         if relation is Relation.EARLIER:
-            return now - self._heard_at > self._silence
+            return now - self._last_heartbeat_at > self._heartbeat_timeout
         return relation is Relation.LATER
 
-    def _begin(self, incarnation: Incarnation) -> None:
+    def _switch_to(self, incarnation: Incarnation) -> None:
         if self.incarnation is not None:
-            self._remember_ended(self.incarnation)
+            self._add_ended(self.incarnation)
         self.incarnation = incarnation
         self.is_leaving = False
         self.is_gone = False
         self._sequence = -1
 
-    def _remember_ended(self, incarnation: Incarnation) -> None:
+    def _add_ended(self, incarnation: Incarnation) -> None:
         self._ended[incarnation] = None
-        while len(self._ended) > ENDED_KEPT:
+        while len(self._ended) > MAX_ENDED_INCARNATIONS:
             self._ended.popitem(last=False)
