--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -77,7 +77,7 @@
         self._log = log
         self._queue = RequestQueue()
         self._flows = OwnedFlows(self._queue)
-        self._foreign = ForeignFlows()
+        self._foreign_flows = ForeignFlows()
         self._probes = OwnershipProbes()
         self._swept_at = 0.0
         self.is_draining = False
@@ -99,7 +99,7 @@
         return Load(
             self._flows.open_count,
             len(self._queue),
-            self._foreign.treats_unknown_as_foreign,
+            self._foreign_flows.treats_unknown_as_foreign,
         )
 
     def on_forward(
@@ -156,7 +156,7 @@
         if flow is not None:
             is_own = flow.matches_acknowledgement(question.acknowledged)
             verdict = Verdict.MINE if is_own else Verdict.NOT_MINE
-        elif self._foreign.has(question.flow, now=now):
+        elif self._foreign_flows.has(question.flow, now=now):
             verdict = Verdict.NOT_MINE
         else:
             verdict = Verdict.UNSURE
@@ -186,7 +186,7 @@
             if segment.flags & RESET:
                 return actions
             flow = self._flows.add(segment.flow, now=now)
-            self._foreign.discard(segment.flow)
+            self._foreign_flows.discard(segment.flow)
         if probe is not None:
             actions.append(self._verdict_to(Verdict.MINE, segment.flow, probe.balancer))
         if flow.opening_balancer is not None and segment.flags & SYN:
@@ -259,7 +259,7 @@
         new = [
             restored for restored in flows if restored.segment.flow not in self._flows
         ]
-        if self._foreign.treats_unknown_as_foreign:
+        if self._foreign_flows.treats_unknown_as_foreign:
             return [ResetCaller(r.segment.flow, r.segment.ack) for r in new]
         for restored in new:
             segment = restored.segment
@@ -273,7 +273,7 @@
 
     def mark_all_known(self) -> None:
         """Records that this process has seen every flow of the upstream."""
-        self._foreign.treats_unknown_as_foreign = True
+        self._foreign_flows.treats_unknown_as_foreign = True
 
     def on_upstream_gone(self, *, now: float) -> list[Action]:
         """Resets all flows of an upstream whose process has certainly ended.
@@ -286,7 +286,7 @@
         Returns:
             The resets, and a reply to each balancer whose probe is pending.
         """
-        self._foreign.treats_unknown_as_foreign = True
+        self._foreign_flows.treats_unknown_as_foreign = True
         actions: list[Action] = [
             self._verdict_to(Verdict.NOT_MINE, flow, probe.balancer)
             for flow, probe in self._probes.pop_all()
@@ -332,7 +332,7 @@
             return
         self._swept_at = now
         self._flows.sweep(now=now)
-        self._foreign.sweep(now=now)
+        self._foreign_flows.sweep(now=now)
         self._probes.sweep(now=now)
 
     def _on_opening(
@@ -361,7 +361,7 @@
     ) -> list[Action]:
         if segment.flags & RESET:
             return []
-        if self._foreign.has(segment.flow, now=now):
+        if self._foreign_flows.has(segment.flow, now=now):
             return [self._reject_foreign(forward, segment, sender)]
         is_lookup = forward.purpose is Purpose.SEARCH
         probe = self._probes.add(
@@ -369,9 +369,9 @@
         )
         actions: list[Action] = [ToUpstream(segment.datagram)]
         if probe.is_overdue(now=now):
-            silent = round(now - probe.started_at, 3)
+            unanswered = round(now - probe.started_at, 3)
             self._log.decision(
-                "flow doubted", flow=flow_name(segment.flow), silent=silent
+                "flow doubted", flow=flow_name(segment.flow), silent=unanswered
             )
             verdict = Verdict.UNSURE
             actions.append(
@@ -390,7 +390,7 @@
     def _on_foreign_reply(
         self, segment: Segment, probe: OwnershipProbe, *, now: float
     ) -> Action:
-        self._foreign.mark(segment.flow, now=now)
+        self._foreign_flows.mark(segment.flow, now=now)
         self._log.decision(
             "foreign answer",
             flow=flow_name(segment.flow),
@@ -410,7 +410,7 @@
             return [self._refuse(Verdict.FULL, segment.flow, sender)]
         probe = self._probes.pop(segment.flow)
         if probe is not None:
-            self._foreign.mark(segment.flow, now=now)
+            self._foreign_flows.mark(segment.flow, now=now)
             packet = b"" if probe.is_lookup else segment.datagram
             return [
                 self._verdict_to(Verdict.NOT_MINE, segment.flow, probe.balancer, packet)
@@ -420,7 +420,7 @@
         if not flow.is_confirmed:
             # The upstream never held the flow open, so another one may hold it.
             self._flows.remove(segment.flow, now=now)
-            self._foreign.mark(segment.flow, now=now)
+            self._foreign_flows.mark(segment.flow, now=now)
             return []
         # The caller acknowledged this upstream's sequence numbers, so no other upstream
         # can hold the flow.
@@ -432,7 +432,12 @@
         return [ResetCaller(segment.flow, acknowledged)]
 
     def _record_caller_packet(
-        self, flow: OwnedFlow, segment: Segment, terms: RequestParameters, *, now: float
+        self,
+        flow: OwnedFlow,
+        segment: Segment,
+        parameters: RequestParameters,
+        *,
+        now: float,
     ) -> bool:
         """Records a caller's packet; returns whether to forward it now."""
         flow.used_at = now
@@ -461,7 +466,7 @@
         if is_copy or self._queue.is_running(segment.flow):
             return True
         return self._queue.submit(
-            segment.flow, segment.seq, segment.datagram, terms, now=now
+            segment.flow, segment.seq, segment.datagram, parameters, now=now
         )
 
     def _refuse(self, verdict: Verdict, flow: bytes, sender: tuple[str, int]) -> ToPeer:
