--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -179,8 +179,8 @@
         flow = self._flows.get(segment.flow)
         probe = self._probes.pop(segment.flow)
         if flow is None and probe is not None and not probe.is_confirmed_by(segment):
-            # Not sent to the caller: it uses another upstream's sequence numbers, and
-            # a reset would break its flow with that upstream.
+            # Not sent to the caller, which uses another upstream's sequence numbers: a
+            # reset would break its flow with that upstream.
             return [self._on_foreign_reply(segment, probe, now=now)]
         if flow is None:
             if segment.flags & RESET:
@@ -292,7 +292,7 @@
             for flow, probe in self._probes.pop_all()
         ]
         ended = self._flows.end_all(now=now)
-        actions += [ResetCaller(name, flow.acknowledged) for name, flow in ended]
+        actions += [ResetCaller(key, flow.acknowledged) for key, flow in ended]
         if ended:
             self._log.decision("flows reset", reason="upstream gone", flows=len(ended))
         return actions
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -59,7 +59,7 @@
     from siskinshift.runtime.http_server import HttpRequest
 
 
-# An upstream repeats a request that gets no response within a second.
+# Below one second, after which an upstream repeats a request without a response.
 LOOP_CALL_TIMEOUT_SECONDS = 0.8
 # A terminating agent waits for running requests. The next process is up within a
 # second, and most requests take less than this.
@@ -156,7 +156,7 @@
         return member.role is Role.BALANCER
 
     def begin_leaving(self) -> None:
-        """Refuses new flows and schedules the end for when no request is running."""
+        """Refuses new flows and ends the process as soon as no request is running."""
         now = self.clock()
         self._leave_deadline = now
         self.flows.is_draining = True
@@ -248,7 +248,7 @@
         try:
             message = decode_upstream_call(request)
         except BadMessageError as error:
-            # Sent by another process than this instance's upstream, at any rate.
+            # The sender is not this instance's upstream and may send at any rate.
             self.log.decision("heartbeat refused", error=str(error), path=request.path)
             return HttpReply(400)
         if message is None:
@@ -426,9 +426,9 @@
         if not self._is_probing and now - self._probed_at >= PROBE_INTERVAL_SECONDS:
             self._probed_at = now
             self._is_probing = True
-            self.spawn(self._probe)
+            self.spawn(self._probe_process)
 
-    def _probe(self) -> None:
+    def _probe_process(self) -> None:
         started_at = self.clock()
         try:
             connection = socket.create_connection(
--- a/src/siskinshift/connections/foreign_flows.py
+++ b/src/siskinshift/connections/foreign_flows.py
@@ -5,7 +5,7 @@
 
 # A flow that the upstream returned counts as foreign for this time without a new probe.
 FOREIGN_TTL_SECONDS = 10.0
-# Bounds the memory of the cache.
+# Limits the memory of the cache.
 MAX_FOREIGN_FLOWS = 20_000
 
 
