--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -323,7 +323,7 @@
         Returns:
             Clock reading, seconds.
         """
-        due = min(self._records.due, self._finder.next_due)
+        due = min(self._records.next_due, self._finder.next_due)
         if self._retries:
             due = min(due, self._retries[0][0])
         if self._held:
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -114,7 +114,7 @@
         yield from self._old.values()
 
     @property
-    def due(self) -> float:
+    def next_due(self) -> float:
         """Clock reading at which `drop_idle` is due next, seconds."""
         return self._generation_at + GENERATION_SECONDS
 
