--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -23,8 +23,8 @@
 # Missed heartbeats after which the upstream counts as unresponsive: new flows go
 # elsewhere until it responds again.
 MAX_MISSED_HEARTBEATS = 3
-# Ended incarnations kept. Heartbeats are delayed by seconds at most, and an upstream
-# does not start this often within that time.
+# Ended incarnations kept. Heartbeats are delayed by seconds, and an upstream does not
+# start this often within that time.
 MAX_ENDED_INCARNATIONS = 64
 # Weight while the upstream reports that it is cold: requests take about 1.6 times as
 # long then.
@@ -153,7 +153,7 @@
         """Records that the upstream's process is reachable.
 
         Used only until the first heartbeat. An agent that starts beside a running
-        upstream waits up to 0.77 s for that heartbeat at the users' sites, and callers
+        upstream waits 0.77 s for that heartbeat at the users' sites, and callers
         would be refused meanwhile although the upstream is free. An upstream that
         leaves reports it again in that heartbeat and serves the flows that it has
         accepted until then.
