--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -157,13 +157,13 @@
         if record is None:
             record = self._records.add(FlowRecord(segment.flow))
         record.acknowledged = segment.ack
-        if record.terms is not route.terms:
-            record.terms = route.terms
+        if record.request_parameters is not route.terms:
+            record.request_parameters = route.terms
             record.service_ids = route.service_ids
-            record.owned_header = b""
+            record.owner_header = b""
         if record.owner is not None:
             return [self._forwarding.to_owner(record, record.owner, segment, now=now)]
-        accepted = record.only_acceptance
+        accepted = record.sole_acceptor
         if accepted is not None:
             record.owner = accepted
             record.opening = b""
@@ -314,7 +314,7 @@
         actions += self._finder.tick(now=now)
         while self._held and now - self._held[0].opened_at > HOLD_SECONDS:
             actions += self._give_up(self._held.popleft())
-        self._records.forget_silent(now=now)
+        self._records.drop_idle(now=now)
         return actions
 
     def next_due(self) -> float:
@@ -323,7 +323,7 @@
         Returns:
             Clock reading, seconds.
         """
-        due = min(self._records.due, self._finder.next_due)
+        due = min(self._records.next_due, self._finder.next_due)
         if self._retries:
             due = min(due, self._retries[0][0])
         if self._held:
@@ -355,7 +355,7 @@
         if record is None or not record.attempts:
             record = self._records.add(FlowRecord(segment.flow))
             record.service_id = route.service_for(segment.flow)
-            record.terms = route.terms
+            record.request_parameters = route.terms
             record.service_ids = route.service_ids
             record.opening = segment.datagram
             record.opened_at = now
@@ -454,7 +454,7 @@
     def _on_opening_verdict(
         self, agent: Peer, record: FlowRecord, verdict: Verdict, *, now: float
     ) -> list[Action]:
-        attempt = record.attempt_with(agent)
+        attempt = record.find_attempt(agent)
         if attempt is None:
             return []
         attempt.verdict = verdict
--- /dev/null
+++ b/src/siskinshift/connections/graceful_shutdown.py
@@ -0,0 +1,83 @@
+"""Decides when a terminating balancer reports not ready and when its process ends.
+
+Balancers are restarted one after the other. Routers take one that reports not ready out
+of rotation, but as soon as fewer than half of a failure domain's balancers are ready,
+they send to all of them again, including the stopped ones. Without the wait below, the
+second of three that terminates sends a third of the domain's packets to the first one,
+which is not ready again yet.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from attrs import define
+
+from siskinshift.messages.core import MemberState
+
+
+if TYPE_CHECKING:
+    from collections.abc import Collection
+
+    from siskinshift.connections.fleet import Peer
+
+
+# Routers probe every half second, and two failures take a balancer out of rotation.
+ROTATION_SECONDS = 1.6
+# Packets that routers sent before that have arrived after this.
+QUIET_SECONDS = 0.5
+# Reserved for clean-up before the process is killed.
+CLEANUP_SECONDS = 0.8
+
+
+@define(eq=False)
+class GracefulShutdown:
+    """State of a balancer's planned shutdown.
+
+    Attributes:
+        started_at: Time at which the shutdown was requested, seconds.
+        leave_seconds: Time from then until the process is killed.
+        not_ready_at: Time since which it has reported not ready; None before.
+    """
+
+    started_at: float
+    leave_seconds: float
+    not_ready_at: float | None = None
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether the balancer reports not ready."""
+        return self.not_ready_at is not None
+
+    def may_end(
+        self, peers: Collection[Peer], *, received_at: float, now: float
+    ) -> bool:
+        """Reports not ready when possible and returns whether the process may end.
+
+        Args:
+            peers: The other balancers of the failure domain.
+            received_at: Time of the last packet of a caller, seconds.
+            now: Clock reading, seconds.
+
+        Returns:
+            Whether the process may end now.
+        """
+        end_by = self.started_at + self.leave_seconds - CLEANUP_SECONDS
+        if self.not_ready_at is None:
+            must_begin = now >= end_by - ROTATION_SECONDS
+            if must_begin or _can_spare_one(peers, now=now):
+                self.not_ready_at = now
+            return False
+        if now >= end_by:
+            return True
+        out_of_rotation_at = self.not_ready_at + ROTATION_SECONDS
+        return now >= max(out_of_rotation_at, received_at + QUIET_SECONDS)
+
+
+def _can_spare_one(peers: Collection[Peer], *, now: float) -> bool:
+    ready = sum(
+        peer.member.state is MemberState.READY and not peer.is_silent(now=now)
+        for peer in peers
+    )
+    # A balancer without peers need not wait: neighbouring domains take over.
+    return not peers or 2 * ready >= len(peers) + 1
--- /dev/null
+++ b/src/siskinshift/connections/upstream_state.py
@@ -0,0 +1,293 @@
+"""Tracks the incarnation and state of an agent's upstream by its heartbeats.
+
+Each start of an upstream is an incarnation: an id, which a later start may reuse, and
+the time of the start. Heartbeats may be delayed: one of an ended incarnation must not
+bring it back, and an older one of the same incarnation must not revert its leaving
+state. Sequence numbers of heartbeats restart with each incarnation.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from enum import Enum
+from enum import auto
+
+from attrs import frozen
+
+from siskinshift.connections.incarnation import Incarnation
+from siskinshift.connections.incarnation import Relation
+from siskinshift.core.members import FULL_WEIGHT
+from siskinshift.messages.core import MemberState
+
+
+# Missed heartbeats after which the upstream counts as unresponsive: new flows go
+# elsewhere until it responds again.
+MAX_MISSED_HEARTBEATS = 3
+# Ended incarnations kept. Heartbeats are delayed by seconds, and an upstream does not
+# start this often within that time.
+MAX_ENDED_INCARNATIONS = 64
+# Weight while the upstream reports that it is cold: requests take about 1.6 times as
+# long then.
+COLD_WEIGHT = FULL_WEIGHT * 5 // 8
+
+
+@frozen
+class Heartbeat:
+    """A heartbeat of an upstream.
+
+    Attributes:
+        incarnation: Incarnation that sent it.
+        service_id: Service of the upstream.
+        sequence: Number that increases with each heartbeat.
+        slots: Requests that the upstream runs at once.
+        is_leaving: Whether the upstream is about to end.
+        cold_seconds: Time for which the upstream remains slow after its start.
+    """
+
+    incarnation: Incarnation
+    service_id: str
+    sequence: int
+    slots: int
+    is_leaving: bool
+    cold_seconds: float
+
+
+@frozen
+class Deregistration:
+    """A notification that an upstream ends now.
+
+    Attributes:
+        incarnation: Incarnation that ends.
+    """
+
+    incarnation: Incarnation
+
+
+class HeartbeatEffect(Enum):
+    """Effect of a heartbeat on the state.
+
+    REPLACED: another incarnation runs, which holds none of the earlier flows. IGNORED:
+    the heartbeat is outdated or not of the current incarnation.
+    """
+
+    NONE = auto()
+    CHANGED = auto()
+    REPLACED = auto()
+    IGNORED = auto()
+
+
+class UpstreamState:
+    """Incarnation and state of an upstream.
+
+    Attributes:
+        incarnation: Current incarnation; None before the first heartbeat.
+        service_id: Service of the upstream, from the settings.
+        slots: Requests that the upstream runs at once.
+        is_leaving: Whether the current incarnation reported that it leaves.
+        is_gone: Whether the current incarnation has deregistered.
+    """
+
+    def __init__(self, *, service_id: str, heartbeat_interval: float) -> None:
+        """Initializes the state without an incarnation.
+
+        Args:
+            service_id: Service of the upstream.
+            heartbeat_interval: Seconds between two heartbeats.
+        """
+        self.incarnation: Incarnation | None = None
+        self.service_id = service_id
+        self.slots = 1
+        self.is_leaving = False
+        self.is_gone = False
+        self._heartbeat_timeout = MAX_MISSED_HEARTBEATS * heartbeat_interval
+        self._sequence = -1
+        self._last_heartbeat_at = float("-inf")
+        self._reachable_at = float("-inf")
+        self._cold_until = float("-inf")
+        self._presumed_cold_until = float("-inf")
+        self._ended: OrderedDict[Incarnation, None] = OrderedDict()
+
+    @property
+    def upstream_id(self) -> str:
+        """Id of the current incarnation; empty before the first heartbeat."""
+        return self.incarnation.upstream_id if self.incarnation else ""
+
+    def on_heartbeat(self, heartbeat: Heartbeat, *, now: float) -> HeartbeatEffect:
+        """Applies a heartbeat.
+
+        Args:
+            heartbeat: The heartbeat.
+            now: Clock reading, seconds.
+
+        Returns:
+            Its effect.
+        """
+        if heartbeat.service_id != self.service_id:
+            # Not sent by the upstream of this instance. It would replace that upstream
+            # and get no flows, since balancers use the service of the settings.
+            return HeartbeatEffect.IGNORED
+        effect = HeartbeatEffect.NONE
+        if self.incarnation is None:
+            effect = HeartbeatEffect.CHANGED
+        elif heartbeat.incarnation != self.incarnation:
+            effect = HeartbeatEffect.REPLACED
+        elif heartbeat.sequence <= self._sequence:
+            return HeartbeatEffect.IGNORED
+        if effect is not HeartbeatEffect.NONE:
+            if not self._may_replace(heartbeat.incarnation, now=now):
+                return HeartbeatEffect.IGNORED
+            self._switch_to(heartbeat.incarnation)
+        before = (self.slots, self.is_leaving, self.accepts(now=now))
+        self._sequence = heartbeat.sequence
+        self._last_heartbeat_at = now
+        self._cold_until = now + heartbeat.cold_seconds
+        self._presumed_cold_until = float("-inf")
+        self.slots = heartbeat.slots
+        self.is_leaving = self.is_leaving or heartbeat.is_leaving
+        after = (self.slots, self.is_leaving, self.accepts(now=now))
+        if effect is HeartbeatEffect.NONE and before != after:
+            return HeartbeatEffect.CHANGED
+        return effect
+
+    def on_reachable(self, *, now: float) -> None:
+        """Records that the upstream's process is reachable.
+
+        Used only until the first heartbeat. An agent that starts beside a running
+        upstream waits 0.77 s for that heartbeat at the users' sites, and callers
+        would be refused meanwhile although the upstream is free. An upstream that
+        leaves reports it again in that heartbeat and serves the flows that it has
+        accepted until then.
+
+        Args:
+            now: Clock reading, seconds.
+        """
+        self._reachable_at = now
+
+    def on_deregistration(self, ended: Incarnation) -> bool:
+        """Applies the planned end of an incarnation.
+
+        Args:
+            ended: The incarnation.
+
+        Returns:
+            Whether it is the current one. A deregistration without a start time
+            applies to the current incarnation only if that has reported that it
+            leaves: a delayed one of an earlier start would end a live upstream.
+        """
+        if self.incarnation is None:
+            # No heartbeat has arrived yet, since the agent has restarted.
+            self.incarnation = ended
+        relation = ended.relation_to(self.incarnation)
+        is_present = relation is Relation.SAME
+        if relation is Relation.UNKNOWN:
+            is_present = self.is_leaving
+        self._add_ended(self.incarnation if is_present else ended)
+        if not is_present:
+            return False
+        self.is_leaving = True
+        self.is_gone = True
+        return True
+
+    def accepts(self, *, now: float) -> bool:
+        """Returns whether the upstream may get new flows.
+
+        Args:
+            now: Clock reading, seconds.
+
+        Returns:
+            Whether it is known, responsive and not leaving.
+        """
+        return self.state(now=now) is MemberState.READY
+
+    def can_verify_flows(self, *, now: float) -> bool:
+        """Returns whether flows can be verified with the upstream.
+
+        Args:
+            now: Clock reading, seconds.
+
+        Returns:
+            Whether an incarnation is known, even a leaving one, or its process is
+            reachable.
+        """
+        return self.incarnation is not None or self.accepts(now=now)
+
+    def state(self, *, now: float) -> MemberState:
+        """Returns the state that is reported to peers.
+
+        Args:
+            now: Clock reading, seconds.
+
+        Returns:
+            JOINING before the first contact and while the upstream is unresponsive.
+        """
+        if self.is_leaving:
+            return MemberState.DRAINING
+        last_seen_at = (
+            self._last_heartbeat_at if self.incarnation else self._reachable_at
+        )
+        if now - last_seen_at > self._heartbeat_timeout:
+            return MemberState.JOINING
+        return MemberState.READY
+
+    def weight(self, *, now: float) -> int:
+        """Returns the weight of the upstream in the placement of new flows.
+
+        Args:
+            now: Clock reading, seconds.
+
+        Returns:
+            Thousandths of a warm upstream's share; it counts as cold before its first
+            heartbeat.
+        """
+        is_cold = self.incarnation is None or now < self._cold_until
+        return COLD_WEIGHT if is_cold else FULL_WEIGHT
+
+    def may_be_cold(self, *, now: float) -> bool:
+        """Returns whether the upstream may still be slow after its start.
+
+        Args:
+            now: Clock reading, seconds.
+
+        Returns:
+            Whether it reported so, has not reported yet, or is presumed to be cold.
+        """
+        is_warm = self.weight(now=now) == FULL_WEIGHT
+        return not is_warm or now < self._presumed_cold_until
+
+    def presume_cold(self, *, now: float) -> None:
+        """Treats the upstream as cold until its next heartbeat.
+
+        Args:
+            now: Clock reading, seconds.
+        """
+        self._presumed_cold_until = now + self._heartbeat_timeout
+
+    def _may_replace(self, candidate: Incarnation, *, now: float) -> bool:
+        """Returns whether another incarnation may replace the current one.
+
+        Delayed heartbeats of an ended start must not revert the state of the current
+        one. A later start whose wall clock is behind looks like an earlier one, but
+        keeps sending while the current one is unresponsive. It is accepted then, so
+        that a clock that jumps back costs three heartbeats and not the upstream.
+        """
+        if candidate in self._ended:
+            return False
+        if self.incarnation is None:
+            return True
+        relation = candidate.relation_to(self.incarnation)
+        if relation is Relation.EARLIER:
+            return now - self._last_heartbeat_at > self._heartbeat_timeout
+        return relation is Relation.LATER
+
+    def _switch_to(self, incarnation: Incarnation) -> None:
+        if self.incarnation is not None:
+            self._add_ended(self.incarnation)
+        self.incarnation = incarnation
+        self.is_leaving = False
+        self.is_gone = False
+        self._sequence = -1
+
+    def _add_ended(self, incarnation: Incarnation) -> None:
+        self._ended[incarnation] = None
+        while len(self._ended) > MAX_ENDED_INCARNATIONS:
+            self._ended.popitem(last=False)
