--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -45,7 +45,7 @@
     from siskinshift.connections.owned_flow import OwnedFlow
     from siskinshift.connections.owned_flow import RestoredFlow
     from siskinshift.connections.peer_messages import Forward
-    from siskinshift.connections.peer_messages import Question
+    from siskinshift.connections.peer_messages import OwnerQuery
     from siskinshift.connections.request_queue import Terms
     from siskinshift.connections.upstream_life import UpstreamLife
     from siskinshift.observability.event_log import EventLog
@@ -138,7 +138,7 @@
         return actions
 
     def on_question(
-        self, question: Question, sender: tuple[str, int], *, now: float
+        self, question: OwnerQuery, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
         """Says whether the upstream holds a flow, as far as it is known here.
 
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -23,8 +23,8 @@
 from siskinshift.connections.peer_codec import encode_all_owned
 from siskinshift.connections.peer_codec import encode_evacuations_message
 from siskinshift.connections.peer_messages import Forward
+from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
-from siskinshift.connections.peer_messages import Question
 from siskinshift.connections.peer_messages import WarmUpRate
 from siskinshift.connections.registration import role_prefix
 from siskinshift.connections.snapshot_upload import SnapshotUpload
@@ -175,7 +175,7 @@
         if isinstance(message, WarmUpRate):
             self.flows.warm_up.rate = message.rate
             return ()
-        if isinstance(message, Question):
+        if isinstance(message, OwnerQuery):
             return self.flows.on_question(message, source, now=now)
         if not isinstance(message, Forward):
             return ()
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -15,8 +15,8 @@
 from siskinshift.connections.actions import ToPeer
 from siskinshift.connections.owner_search import OwnerSearch
 from siskinshift.connections.peer_codec import encode_question
+from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
-from siskinshift.connections.peer_messages import Question
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.segment import flow_name
 from siskinshift.flows.pacing import ByteBudget
@@ -301,7 +301,7 @@
         *,
         now: float,
     ) -> list[Action]:
-        question = encode_question(Question(record.flow, record.acknowledged))
+        question = encode_question(OwnerQuery(record.flow, record.acknowledged))
         actions: list[ToPeer] = []
         for agent in agents:
             self._fleet.asked(agent, now=now)
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -24,8 +24,8 @@
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.connections.peer_messages import Load
 from siskinshift.connections.peer_messages import Owned
+from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
-from siskinshift.connections.peer_messages import Question
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.peer_messages import WarmUpRate
@@ -113,7 +113,7 @@
     return header + datagram
 
 
-def encode_question(question: Question) -> bytes:
+def encode_question(question: OwnerQuery) -> bytes:
     """Writes a balancer's question for a flow's owner.
 
     Args:
@@ -270,7 +270,7 @@
             return _decode_owned(datagram)
         if datagram[0] == _Kind.QUESTION:
             _, flow, acknowledged = _QUESTION.unpack(datagram)
-            return Question(flow, acknowledged)
+            return OwnerQuery(flow, acknowledged)
         if datagram[0] == _Kind.STATUS:
             return _decode_status(datagram)
         if datagram[0] == _Kind.ALIVE:
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -64,7 +64,7 @@
 
 
 @frozen
-class Question:
+class OwnerQuery:
     """A balancer asks an agent whether its upstream holds a flow.
 
     Attributes:
@@ -198,7 +198,7 @@
     | Status
     | Alive
     | KnownHosts
-    | Question
+    | OwnerQuery
     | Owned
     | Evacuations
     | WarmUpRate
