--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -40,7 +40,7 @@
     from siskinshift.connections.actions import Action
     from siskinshift.connections.fleet import Fleet
     from siskinshift.connections.fleet import Peer
-    from siskinshift.connections.owner_search import OwnerSearch
+    from siskinshift.connections.owner_search import OwnerLookup
     from siskinshift.connections.peer_messages import FlowVerdict
     from siskinshift.connections.placement import AgentPlacement
     from siskinshift.connections.routes import ConnectionRoute
@@ -268,7 +268,7 @@
                 actions += self._finder.on_owner(agent, record)
         return actions
 
-    def search_of(self, flow: bytes) -> OwnerSearch | None:
+    def search_of(self, flow: bytes) -> OwnerLookup | None:
         """Gives the search for a flow's owner that is under way.
 
         Args:
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -8,7 +8,7 @@
 from attrs import define
 
 from siskinshift.connections.fleet import Peer
-from siskinshift.connections.owner_search import OwnerSearch
+from siskinshift.connections.owner_search import OwnerLookup
 from siskinshift.connections.peer_messages import NO_TERMS
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.request_queue import Terms
@@ -66,7 +66,7 @@
     opened_at: float = 0.0
     attempts: list[Attempt] = Factory(list)
     terms: Terms = NO_TERMS
-    search: OwnerSearch | None = None
+    search: OwnerLookup | None = None
     acknowledged: int = 0
     owned_header: bytes = b""
     service_ids: tuple[str, ...] = ()
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -13,7 +13,7 @@
 
 from siskinshift.connections.actions import ResetCaller
 from siskinshift.connections.actions import ToPeer
-from siskinshift.connections.owner_search import OwnerSearch
+from siskinshift.connections.owner_search import OwnerLookup
 from siskinshift.connections.peer_codec import encode_question
 from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
@@ -81,7 +81,7 @@
         self._forwarding = forwarding
         self._failure_domain = failure_domain
         self._log = log
-        self._searches: list[tuple[float, int, FlowRecord, OwnerSearch]] = []
+        self._searches: list[tuple[float, int, FlowRecord, OwnerLookup]] = []
         self._search_numbers = count()
         self._budget = ByteBudget(
             bytes_per_second=min(
@@ -186,7 +186,7 @@
     def _begin(
         self, record: FlowRecord, packet: bytes, *, now: float, denied_by: str = ""
     ) -> list[Action]:
-        record.search = OwnerSearch(
+        record.search = OwnerLookup(
             flow=record.flow,
             service_ids=record.service_ids,
             packets=[packet],
@@ -198,7 +198,7 @@
         return self._next_wave(record, record.search, now=now)
 
     def _next_wave(
-        self, record: FlowRecord, search: OwnerSearch, *, now: float
+        self, record: FlowRecord, search: OwnerLookup, *, now: float
     ) -> list[Action]:
         if self._budget.wait(now=now):
             return self._wait_for_room(record, search, now=now)
@@ -226,7 +226,7 @@
         return [ResetCaller(record.flow, record.acknowledged)]
 
     def _wait_for_room(
-        self, record: FlowRecord, search: OwnerSearch, *, now: float
+        self, record: FlowRecord, search: OwnerLookup, *, now: float
     ) -> list[Action]:
         """Lets a search go on when the link has room; what it has asked is kept."""
         if not search.asked and now - search.began_at > SEARCH_SECONDS_MAXIMUM:
@@ -238,7 +238,7 @@
     def _ask_again(
         self,
         record: FlowRecord,
-        search: OwnerSearch,
+        search: OwnerLookup,
         agents: list[Peer],
         *,
         now: float,
@@ -258,7 +258,7 @@
         return self._ask(record, search, search.packets, agents, now=now)
 
     def _ask_all_again(
-        self, record: FlowRecord, search: OwnerSearch, *, now: float
+        self, record: FlowRecord, search: OwnerLookup, *, now: float
     ) -> list[Action]:
         """Begins a search anew, with the packets that it has.
 
@@ -271,7 +271,7 @@
         return []
 
     def _go_on(
-        self, record: FlowRecord, search: OwnerSearch, *, due: float, now: float
+        self, record: FlowRecord, search: OwnerLookup, *, due: float, now: float
     ) -> bool:
         """Lets a search go on later, or gives it up; says which."""
         is_over = now - search.began_at > SEARCH_SECONDS_MAXIMUM
@@ -288,14 +288,14 @@
         self._log.decision("not searched", flow=flow_name(record.flow), reason=reason)
         return []
 
-    def _schedule(self, record: FlowRecord, search: OwnerSearch) -> None:
+    def _schedule(self, record: FlowRecord, search: OwnerLookup) -> None:
         number = next(self._search_numbers)
         heapq.heappush(self._searches, (search.next_wave_at, number, record, search))
 
     def _ask(
         self,
         record: FlowRecord,
-        search: OwnerSearch,
+        search: OwnerLookup,
         packets: list[bytes],
         agents: list[Peer],
         *,
--- a/src/siskinshift/connections/owner_search.py
+++ b/src/siskinshift/connections/owner_search.py
@@ -69,7 +69,7 @@
 
 
 @define(eq=False)
-class OwnerSearch:
+class OwnerLookup:
     """A search for the owner of one flow.
 
     Attributes:
@@ -227,16 +227,16 @@
         self.questioned |= {peer.member.member_id for peer in peers}
 
 
-def _opened(search: OwnerSearch, fleet: Fleet, _: str) -> list[Peer]:
+def _opened(search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
     peers = [fleet.peers_by_id.get(member_id) for member_id in search.first]
     return [peer for peer in peers if peer is not None]
 
 
-def _agents(search: OwnerSearch, fleet: Fleet) -> list[Peer]:
+def _agents(search: OwnerLookup, fleet: Fleet) -> list[Peer]:
     return [agent for name in search.service_ids for agent in fleet.agents_of(name)]
 
 
-def _near_home(search: OwnerSearch, fleet: Fleet, domain: str) -> list[Peer]:
+def _near_home(search: OwnerLookup, fleet: Fleet, domain: str) -> list[Peer]:
     named: list[Peer] = []
     for name in search.service_ids:
         near = [a for a in fleet.agents_of(name) if a.member.failure_domain == domain]
@@ -244,7 +244,7 @@
     return named
 
 
-def _far_home(search: OwnerSearch, fleet: Fleet, domain: str) -> list[Peer]:
+def _far_home(search: OwnerLookup, fleet: Fleet, domain: str) -> list[Peer]:
     near = [a for a in _agents(search, fleet) if a.member.failure_domain == domain]
     named: list[Peer] = near
     for name in search.service_ids:
@@ -253,11 +253,11 @@
     return named
 
 
-def _service(search: OwnerSearch, fleet: Fleet, _: str) -> list[Peer]:
+def _service(search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
     return _agents(search, fleet)
 
 
-def _everybody(_search: OwnerSearch, fleet: Fleet, _: str) -> list[Peer]:
+def _everybody(_search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
     # A configuration may have given the route to another service since.
     return fleet.agents()
 
