--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -47,7 +47,7 @@
 # Flows named in one datagram: 1,200 bytes, as much as a caller's packet.
 OWNED_FLOWS_MAXIMUM = 90
 # Hosts named in one datagram.
-KNOWN_HOSTS_MAXIMUM = 280
+MAX_KNOWN_HOSTS = 280
 
 
 class _Kind(IntEnum):
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.connections.fleet import ANSWER_SECONDS
-from siskinshift.connections.peer_codec import KNOWN_HOSTS_MAXIMUM
+from siskinshift.connections.peer_codec import MAX_KNOWN_HOSTS
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.messages.core import Role
 
@@ -119,11 +119,11 @@
         is_whole = self._fleet.is_complete(now=now)
         return [
             KnownHosts(
-                tuple(hosts[start : start + KNOWN_HOSTS_MAXIMUM]),
+                tuple(hosts[start : start + MAX_KNOWN_HOSTS]),
                 count=len(hosts),
                 is_whole=is_whole,
             )
-            for start in range(0, max(1, len(hosts)), KNOWN_HOSTS_MAXIMUM)
+            for start in range(0, max(1, len(hosts)), MAX_KNOWN_HOSTS)
         ]
 
     def _has_spoken(self, host: str) -> bool:
