--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -81,7 +81,7 @@
 # kind, new flows a second
 _WARM_UP_RATE = struct.Struct("!Bd")
 # No upstream takes more new flows a second.
-WARM_UP_RATE_MAXIMUM = 1e6
+MAX_WARM_UP_RATE = 1e6
 _HOST_SIZE = 4
 _COUNT_MAXIMUM = 0xFFFF
 _PURPOSES = tuple(Purpose)
@@ -326,7 +326,7 @@
 
 def _decode_warm_up_rate(datagram: bytes) -> WarmUpRate:
     _, rate = _WARM_UP_RATE.unpack(datagram)
-    if not 0.0 < rate <= WARM_UP_RATE_MAXIMUM:
+    if not 0.0 < rate <= MAX_WARM_UP_RATE:
         raise ValueError(rate)
     return WarmUpRate(rate)
 
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from siskinshift.connections.peer_codec import WARM_UP_RATE_MAXIMUM
+from siskinshift.connections.peer_codec import MAX_WARM_UP_RATE
 from siskinshift.connections.request_queue import Terms
 from siskinshift.connections.routes import ConnectionRoute
 from siskinshift.connections.routes import RouteTable
@@ -67,7 +67,7 @@
     """Reads the rates; a rate of 0, or none, declares no bound."""
     rates_by_service = {
         text_of(service, "name"): number_of(
-            service, "warmup-per-s", maximum=WARM_UP_RATE_MAXIMUM
+            service, "warmup-per-s", maximum=MAX_WARM_UP_RATE
         )
         for service in services
         if "warmup-per-s" in service
