--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -32,7 +32,7 @@
 from siskinshift.connections.segment import SEQUENCE_SPACE
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
-from siskinshift.connections.segment import flow_name
+from siskinshift.connections.segment import format_flow
 from siskinshift.connections.segment import is_after
 from siskinshift.connections.warm_up import WarmUpLimit
 
@@ -312,7 +312,7 @@
         for request in self._queue.next_requests(now=now):
             self._log.decision(
                 "request started",
-                flow=flow_name(request.flow),
+                flow=format_flow(request.flow),
                 waited=round(now - request.arrived_at, 4),
             )
             self._log.metrics.observe("request_wait", now - request.arrived_at)
@@ -363,7 +363,7 @@
         if offer.is_doubtful(now=now):
             silent = round(now - offer.since, 3)
             self._log.decision(
-                "flow doubted", flow=flow_name(segment.flow), silent=silent
+                "flow doubted", flow=format_flow(segment.flow), silent=silent
             )
             doubt = Verdict.UNSURE
             actions.append(self._say(doubt, segment.flow, sender, segment.datagram))
@@ -383,7 +383,7 @@
         self._foreign.mark(segment.flow, now=now)
         self._log.decision(
             "foreign answer",
-            flow=flow_name(segment.flow),
+            flow=format_flow(segment.flow),
             flags=segment.flags,
             seq=segment.seq,
             caller_acknowledged=offer.acknowledged,
@@ -415,7 +415,7 @@
         acknowledged = flow.acknowledged
         self._flows.end(segment.flow, flow, now=now)
         self._log.decision(
-            "reset", flow=flow_name(segment.flow), reason="upstream lost the flow"
+            "reset", flow=format_flow(segment.flow), reason="upstream lost the flow"
         )
         return [ResetCaller(segment.flow, acknowledged)]
 
@@ -452,7 +452,7 @@
     def _refuse(self, verdict: Verdict, flow: bytes, sender: tuple[str, int]) -> ToPeer:
         self._log.decision(
             "refused",
-            flow=flow_name(flow),
+            flow=format_flow(flow),
             reason=verdict.name.lower(),
             evacuated=self.is_evacuated,
             upstream=self._life.upstream_id,
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -30,7 +30,7 @@
 from siskinshift.connections.segment import BOUNCED
 from siskinshift.connections.segment import RESET
 from siskinshift.connections.segment import SYN
-from siskinshift.connections.segment import flow_name
+from siskinshift.connections.segment import format_flow
 from siskinshift.connections.segment import service_address
 from siskinshift.core.members import FULL_WEIGHT
 from siskinshift.load.retry_budget import RetryBudget
@@ -342,7 +342,7 @@
         self._records.drop(segment.flow)
         self._log.decision(
             "reset",
-            flow=flow_name(segment.flow),
+            flow=format_flow(segment.flow),
             reason="no route",
             configuration=self._routes.version if self._routes else 0,
         )
@@ -389,7 +389,7 @@
         self._retries.append((now + RETRY_AFTER_SECONDS, record, attempt))
         self._log.decision(
             "open",
-            flow=flow_name(record.flow),
+            flow=format_flow(record.flow),
             agent=agent.member.member_id,
             attempt=len(record.attempts),
             load=agent.load.flows,
@@ -416,7 +416,7 @@
             return []
         if not self._retry_budget.take():
             self._log.decision(
-                "not tried again", flow=flow_name(record.flow), reason="retry budget"
+                "not tried again", flow=format_flow(record.flow), reason="retry budget"
             )
             return []
         return self._try_next(record, now=now)
@@ -445,7 +445,7 @@
         self._records.drop(record.flow)
         self._log.decision(
             "reset",
-            flow=flow_name(record.flow),
+            flow=format_flow(record.flow),
             reason="no agent takes it",
             agents=len(self._fleet.agents_of(record.service_id)),
         )
@@ -460,7 +460,7 @@
         attempt.verdict = verdict
         self._log.decision(
             "opening answered",
-            flow=flow_name(record.flow),
+            flow=format_flow(record.flow),
             agent=agent.member.member_id,
             verdict=verdict.name.lower(),
         )
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -18,7 +18,7 @@
 from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.peer_messages import Verdict
-from siskinshift.connections.segment import flow_name
+from siskinshift.connections.segment import format_flow
 from siskinshift.flows.pacing import ByteBudget
 
 
@@ -175,7 +175,9 @@
         record.owner = agent
         record.search = None
         member_id = agent.member.member_id
-        self._log.decision("owner found", flow=flow_name(record.flow), agent=member_id)
+        self._log.decision(
+            "owner found", flow=format_flow(record.flow), agent=member_id
+        )
         if search is None or search.has_packets(member_id):
             return []
         packets = search.packets
@@ -219,7 +221,7 @@
         self._records.drop(record.flow)
         self._log.decision(
             "reset",
-            flow=flow_name(record.flow),
+            flow=format_flow(record.flow),
             reason="no upstream holds the flow",
             asked=len(search.asked),
         )
@@ -285,7 +287,7 @@
     def _give_up(self, record: FlowRecord, *, reason: str) -> list[Action]:
         # The caller's next packet begins another search.
         record.search = None
-        self._log.decision("not searched", flow=flow_name(record.flow), reason=reason)
+        self._log.decision("not searched", flow=format_flow(record.flow), reason=reason)
         return []
 
     def _schedule(self, record: FlowRecord, search: OwnerLookup) -> None:
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -87,7 +87,7 @@
     return socket.inet_aton(host) + port.to_bytes(2, "big")
 
 
-def flow_name(flow: bytes) -> str:
+def format_flow(flow: bytes) -> str:
     """Writes a flow for logs.
 
     Args:
