--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -379,7 +379,7 @@
 
     def _restored(self, row: bytes) -> RestoredFlow | None:
         segment = decode_from_caller(row[:-HOST_SIZE])
-        if segment is None or not segment.is_bare:
+        if segment is None or not segment.is_bare_ack:
             return None
         host = socket.inet_ntoa(row[-HOST_SIZE:])
         return RestoredFlow(segment, (host, self.node_settings.peer_port))
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -39,7 +39,7 @@
     datagram: bytes
 
     @property
-    def is_bare(self) -> bool:
+    def is_bare_ack(self) -> bool:
         """Whether it is an acknowledgement alone, which may be repeated at any time."""
         return self.flags == ACK and not self.length
 
