--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -223,7 +223,7 @@
         address=SERVICE_ADDRESS,
         targets=(Target("editor", 1),),
         terms=Terms(objective=0.1, deadline=0.5, urgency=1),
-        is_single=False,
+        is_single_request=False,
     )
     return RouteTable(version=1, routes_by_address={SERVICE_ADDRESS: route})
 
--- a/src/siskinshift/connections/routes.py
+++ b/src/siskinshift/connections/routes.py
@@ -37,14 +37,14 @@
         address: Address and port, six bytes packed.
         targets: Services that take new flows, with a total weight above 0.
         terms: What callers on the route want.
-        is_single: Whether a flow carries one request and ends.
+        is_single_request: Whether a flow carries one request and ends.
     """
 
     name: str
     address: bytes
     targets: tuple[Target, ...]
     terms: Terms
-    is_single: bool
+    is_single_request: bool
 
     @property
     def service_ids(self) -> tuple[str, ...]:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -85,7 +85,7 @@
             deadline=_seconds_of(route, "timeout-ms"),
             urgency=whole_of(route, "priority"),
         ),
-        is_single=text_of(route, "type") == DOWNLOAD,
+        is_single_request=text_of(route, "type") == DOWNLOAD,
     )
 
 
