--- a/src/siskinshift/connections/offers.py
+++ b/src/siskinshift/connections/offers.py
@@ -48,7 +48,7 @@
         """
         lowest = (self.acknowledged - IN_FLIGHT_MAXIMUM) % SEQUENCE_SPACE
         highest = (self.acknowledged + IN_FLIGHT_MAXIMUM) % SEQUENCE_SPACE
-        return is_between(segment.follows, lowest, highest)
+        return is_between(segment.next_sequence, lowest, highest)
 
     def is_doubtful(self, *, now: float) -> bool:
         """Says whether the upstream should have answered for the flow or returned it.
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -72,7 +72,7 @@
         Args:
             segment: Its packet.
         """
-        follows = segment.follows
+        follows = segment.next_sequence
         if not segment.flags & SYN:
             self.is_confirmed = True
         if self.lowest is None:
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -44,7 +44,7 @@
         return self.flags == ACK and not self.length
 
     @property
-    def follows(self) -> int:
+    def next_sequence(self) -> int:
         """Sequence number of the sender's next byte; SYN and FIN count as one."""
         control = 1 if self.flags & (SYN | FIN) else 0
         return (self.seq + self.length + control) % SEQUENCE_SPACE
