--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -40,7 +40,7 @@
     from siskinshift.connections.actions import Action
     from siskinshift.connections.fleet import Fleet
     from siskinshift.connections.fleet import Peer
-    from siskinshift.connections.owner_search import OwnerLookup
+    from siskinshift.connections.owner_lookup import OwnerLookup
     from siskinshift.connections.peer_messages import FlowVerdict
     from siskinshift.connections.placement import AgentPlacement
     from siskinshift.connections.routes import ConnectionRoute
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -8,7 +8,7 @@
 from attrs import define
 
 from siskinshift.connections.fleet import Peer
-from siskinshift.connections.owner_search import OwnerLookup
+from siskinshift.connections.owner_lookup import OwnerLookup
 from siskinshift.connections.peer_messages import NO_TERMS
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.request_queue import Terms
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -1,7 +1,7 @@
 """Finds out which agent owns a flow that this balancer does not know.
 
 A balancer's memory of flows is a cache: it is empty after a restart, and routers move
-flows between balancers. Whom to ask in which order is `owner_search`'s; here stand the
+flows between balancers. Whom to ask in which order is `owner_lookup`'s; here stand the
 searches under way, their part of the link, and what the agents' words mean for them.
 """
 
@@ -13,7 +13,7 @@
 
 from siskinshift.connections.actions import ResetCaller
 from siskinshift.connections.actions import ToPeer
-from siskinshift.connections.owner_search import OwnerLookup
+from siskinshift.connections.owner_lookup import OwnerLookup
 from siskinshift.connections.peer_codec import encode_question
 from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -16,7 +16,7 @@
 
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.owner_search import home_agents
+from siskinshift.connections.owner_lookup import home_agents
 from siskinshift.core.members import FULL_WEIGHT
 from siskinshift.messages.core import MemberState
 
--- a/tests/connections/test_balancer_flows.py
+++ b/tests/connections/test_balancer_flows.py
@@ -20,8 +20,8 @@
 from siskinshift.connections.owner_finder import SEARCH_BURST_SECONDS
 from siskinshift.connections.owner_finder import SEARCH_LINK_PART
 from siskinshift.connections.owner_finder import SEARCH_SECONDS_MAXIMUM
-from siskinshift.connections.owner_search import HOME_AGENTS
-from siskinshift.connections.owner_search import MOMENT_SECONDS
+from siskinshift.connections.owner_lookup import HOME_AGENTS
+from siskinshift.connections.owner_lookup import MOMENT_SECONDS
 from siskinshift.connections.peer_codec import decode_peer_message
 from siskinshift.connections.peer_messages import Alive
 from siskinshift.connections.peer_messages import FlowVerdict
--- a/tests/connections/test_owner_search.py
+++ b/tests/connections/test_owner_lookup.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.owner_search import HOME_AGENTS
-from siskinshift.connections.owner_search import MOMENT_SECONDS
-from siskinshift.connections.owner_search import OwnerLookup
-from siskinshift.connections.owner_search import home_agents
+from siskinshift.connections.owner_lookup import HOME_AGENTS
+from siskinshift.connections.owner_lookup import MOMENT_SECONDS
+from siskinshift.connections.owner_lookup import OwnerLookup
+from siskinshift.connections.owner_lookup import home_agents
 from tests.connections.builders import agent_placement
 from tests.connections.builders import fleet_of
 from tests.connections.builders import flow_of
