--- a/src/siskinshift/connections/actions.py
+++ b/src/siskinshift/connections/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions about connections ask of the process around them."""
+"""Actions that the flow logic returns to the event loop of its process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @frozen
 class ToUpstream:
-    """Hand a caller's packet to the upstream.
+    """Deliver a caller's packet to the upstream.
 
     Attributes:
         datagram: The packet.
@@ -46,7 +46,7 @@
 
 @frozen
 class ResetCaller:
-    """Tell a caller that its flow has ended, so that it need not wait in vain.
+    """Reset a flow at its caller, which would otherwise wait for its timeout.
 
     Attributes:
         flow: The flow.
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -1,10 +1,10 @@
-"""Decides at a balancer what becomes of each packet of a caller.
+"""Routes each packet of a caller at a balancer.
 
-A balancer's memory of flows is a cache: the agents own them, and what a balancer does
-not know it asks them. Pattern: callers open flows while agents die, restart and fill
-up. Without retries of its own a packet to a dead agent costs the caller the 200 ms to
-its next copy; with the agents' verdicts it costs milliseconds if refused, and the
-`RETRY_AFTER_SECONDS` if nothing comes back.
+A balancer only caches flows: the agents own them, and the balancer queries the agents
+for the owner of a flow that is not in its cache. Callers open flows while agents fail,
+restart and fill up. Without retries by the balancer, an opening packet to a failed
+agent delays the caller by the 200 ms to its next retransmission. With them the delay is
+milliseconds if an agent refuses, and `RETRY_AFTER_SECONDS` if none replies.
 """
 
 from __future__ import annotations
@@ -49,24 +49,24 @@
     from siskinshift.observability.event_log import EventLog
 
 
-# A verdict takes one to three milliseconds; a busy instance answers within this. An
-# objective of 100 ms is still met by the second agent.
+# A verdict takes one to three milliseconds; a busy instance replies within this time.
+# The second agent can still meet an objective of 100 ms.
 RETRY_AFTER_SECONDS = 0.04
-# Agents asked for one flow at most: three that are dead at once are an outage.
-ATTEMPTS_MAXIMUM = 4
-# How long a caller's opening packet is kept while no agent can take it. Callers send
-# a copy after 200 ms; what waits longer is found again with that copy.
+# Most agents to which one flow is offered: three failed ones at once are an outage.
+MAX_ATTEMPTS = 4
+# Longest time that an opening packet is held while no agent can accept it. Callers
+# retransmit after 200 ms, which offers the flow again.
 HOLD_SECONDS = 0.25
-# Opening packets held at most, so that memory stays bounded.
-HELD_MAXIMUM = 2000
-# Second attempts after silence that one accepted flow pays for. A failure domain's
-# agents, a third of all, may die at once: each two flows accepted pay for the one that
-# met them. While nobody answers, attempts do not multiply.
-RETRY_PART = 0.5
+# Most opening packets held at once, to bound the memory.
+MAX_HELD_PACKETS = 2000
+# Retries after a missing reply that one accepted flow allows. The agents of a failure
+# domain, a third of all, may fail at once: two accepted flows allow the retry of one
+# that was offered to a failed agent. Attempts do not multiply while no agent replies.
+RETRY_FRACTION = 0.5
 
 
 class BalancerFlows:
-    """Flows as one balancer sees them."""
+    """The flows of one balancer: their cache, placement and retries."""
 
     def __init__(
         self,
@@ -77,25 +77,25 @@
         link_bytes_per_second: float,
         log: EventLog,
     ) -> None:
-        """Starts without a configuration.
+        """Initializes the flows without a configuration.
 
         Args:
             fleet: The agents.
-            placement: Chooses among them.
+            placement: Chooses the agent for a new flow.
             failure_domain: Failure domain of this balancer.
-            link_bytes_per_second: What its link carries.
-            log: Takes a line for each decision.
+            link_bytes_per_second: Capacity of its link.
+            log: Records each decision.
         """
         self._fleet = fleet
         self._placement = placement
         self._log = log
         self._routes: RouteTable | None = None
         self._dropped_addresses: set[bytes] = set()
-        self._early = EarlyPackets()
+        self._early_packets = EarlyPackets()
         self._records = FlowRecords()
-        self._retries: deque[tuple[float, FlowRecord, Attempt]] = deque()
-        self._held: deque[FlowRecord] = deque()
-        self._retry_budget = RetryBudget(part=RETRY_PART)
+        self._retry_timers: deque[tuple[float, FlowRecord, Attempt]] = deque()
+        self._held_records: deque[FlowRecord] = deque()
+        self._retry_budget = RetryBudget(part=RETRY_FRACTION)
         self._forwarding = Forwarding()
         self._finder = OwnerFinder(
             fleet=fleet,
@@ -115,13 +115,13 @@
         return self._routes
 
     def configure(self, routes: RouteTable) -> bool:
-        """Takes a configuration; an older one than before is ignored.
+        """Applies a configuration unless it is older than the current one.
 
         Args:
             routes: The configuration.
 
         Returns:
-            Whether it is in force now.
+            Whether the configuration was applied.
         """
         if self._routes is not None:
             if routes.version <= self._routes.version:
@@ -132,25 +132,25 @@
         return True
 
     def on_segment(self, segment: Segment, *, now: float) -> list[Action]:
-        """Takes a caller's packet.
+        """Handles a caller's packet.
 
         Args:
             segment: The packet.
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
         flags = segment.flags
         if flags & BOUNCED or flags & (SYN | ACK) == SYN | ACK:
-            # Callers send neither; an upstream would take it for forged.
+            # Callers send neither; an upstream would treat the packet as forged.
             return []
         if self._routes is None:
-            self._early.add(segment, now=now)
+            self._early_packets.add(segment, now=now)
             return []
         route = self._routes.routes_by_address.get(service_address(segment.flow))
         if route is None:
-            return self._without_route(segment)
+            return self._on_unrouted(segment)
         if flags & SYN:
             return self._on_opening(route, segment, now=now)
         record = self._records.find(segment.flow)
@@ -170,30 +170,30 @@
             return [self._forwarding.to_owner(record, accepted, segment, now=now)]
         return self._finder.find(record, segment, now=now)
 
-    def take_early(self, *, now: float) -> list[Action]:
-        """Takes the packets that came before the first configuration.
+    def process_early_packets(self, *, now: float) -> list[Action]:
+        """Handles the packets that arrived before the first configuration.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
-        early = self._early.take(now=now)
+        early = self._early_packets.take(now=now)
         return [x for segment in early for x in self.on_segment(segment, now=now)]
 
     def on_verdict(
         self, agent: Peer, verdict: FlowVerdict, *, now: float
     ) -> list[Action]:
-        """Takes an agent's word about a flow.
+        """Handles an agent's verdict about a flow.
 
         Args:
             agent: The agent.
-            verdict: Its word.
+            verdict: Its verdict.
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
         self._fleet.answered(agent, now=now)
         self._fleet.took_load(agent, verdict.load)
@@ -207,17 +207,17 @@
     def on_agent_restarted(
         self, agent: Peer, *, silent_since: float, now: float
     ) -> list[Action]:
-        """Sends an agent again what it missed while it was away.
+        """Resends the packets that an agent missed during its restart.
 
         Args:
             agent: The agent.
-            silent_since: When the process before was last heard, seconds.
+            silent_since: When its previous process was last seen, seconds.
             now: Clock reading, seconds.
 
         Returns:
-            The packets.
+            Messages with the packets.
         """
-        actions = self._forwarding.again(agent, since=silent_since, now=now)
+        actions = self._forwarding.resend(agent, since=silent_since, now=now)
         if actions:
             self._log.decision(
                 "sent again",
@@ -228,10 +228,10 @@
         return list(actions)
 
     def encode_owned(self) -> list[bytes]:
-        """Names the owners of all flows, for balancers that take over.
+        """Encodes the owners of all flows for the balancers that succeed this one.
 
         Returns:
-            Messages for each of them.
+            Messages that each of them receives.
         """
         flows_by_agent: dict[str, list[bytes]] = {}
         for record in self._records:
@@ -245,16 +245,16 @@
         ]
 
     def on_owned(self, owned: Owned, *, now: float) -> list[Action]:
-        """Learns from another node which flows an agent owns.
+        """Caches the owner of flows that another node has announced.
 
-        An agent that no longer owns one returns its packet, as ever.
+        An agent that no longer owns such a flow returns its packets as usual.
 
         Args:
             owned: The agent and its flows.
             now: Clock reading, seconds.
 
         Returns:
-            Packets of flows that were searched for, now on their way to the owner.
+            Messages to the owner with packets of flows whose owner was looked up.
         """
         agent = self._fleet.peers_by_id.get(owned.member_id)
         if agent is None:
@@ -268,76 +268,78 @@
                 actions += self._finder.on_owner(agent, record)
         return actions
 
-    def search_of(self, flow: bytes) -> OwnerLookup | None:
-        """Gives the search for a flow's owner that is under way.
+    def owner_lookup(self, flow: bytes) -> OwnerLookup | None:
+        """Returns the active lookup of a flow's owner.
 
         Args:
             flow: The flow.
 
         Returns:
-            The search; None if there is none.
+            The lookup; None if there is none.
         """
         record = self._records.find(flow)
         return record.search if record is not None else None
 
     def retry_held(self, *, now: float) -> list[Action]:
-        """Places opening packets that found no agent; call it when one has come.
+        """Offers the held opening packets again; call it when an agent becomes ready.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
         actions: list[Action] = []
-        for _ in range(len(self._held)):
-            record = self._held.popleft()
+        for _ in range(len(self._held_records)):
+            record = self._held_records.popleft()
             if record.owner is None and record.opening:
-                actions += self._try_next(record, now=now)
+                actions += self._offer_to_next_agent(record, now=now)
         return actions
 
     def tick(self, *, now: float) -> list[Action]:
-        """Lets time pass.
+        """Handles expired timers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            What has become due.
+            Actions that are due.
         """
         actions: list[Action] = []
-        while self._retries and self._retries[0][0] <= now:
-            _, record, attempt = self._retries.popleft()
+        while self._retry_timers and self._retry_timers[0][0] <= now:
+            _, record, attempt = self._retry_timers.popleft()
             if attempt.verdict is None and self._records.find(record.flow) is record:
                 attempt.agent.unanswered += 1
-                actions += self._try_again(record, now=now)
+                actions += self._retry(record, now=now)
         actions += self._finder.tick(now=now)
-        while self._held and now - self._held[0].opened_at > HOLD_SECONDS:
-            actions += self._give_up(self._held.popleft())
+        while (
+            self._held_records and now - self._held_records[0].opened_at > HOLD_SECONDS
+        ):
+            actions += self._refuse(self._held_records.popleft())
         self._records.forget_silent(now=now)
         return actions
 
     def next_due(self) -> float:
-        """Says when `tick` is needed next.
+        """Returns when `tick` is due next.
 
         Returns:
             Clock reading, seconds.
         """
         due = min(self._records.due, self._finder.next_due)
-        if self._retries:
-            due = min(due, self._retries[0][0])
-        if self._held:
-            due = min(due, self._held[0].opened_at + HOLD_SECONDS)
+        if self._retry_timers:
+            due = min(due, self._retry_timers[0][0])
+        if self._held_records:
+            due = min(due, self._held_records[0].opened_at + HOLD_SECONDS)
         return due
 
-    def _without_route(self, segment: Segment) -> list[Action]:
+    def _on_unrouted(self, segment: Segment) -> list[Action]:
         if segment.flags & RESET:
             return []
         is_first_copy = segment.flags & SYN and segment.ack == 0
         was_dropped = service_address(segment.flow) in self._dropped_addresses
         if is_first_copy and not was_dropped:
-            # The route may have been added a moment ago: the caller's next copy,
-            # 200 ms later, finds it in force or is refused.
+            # The route may be new: the caller's next copy, 200 ms later, is routed or
+            # refused.
             return []
         self._records.drop(segment.flow)
         self._log.decision(
@@ -359,34 +361,36 @@
             record.service_ids = route.service_ids
             record.opening = segment.datagram
             record.opened_at = now
-            return self._try_next(record, now=now)
-        taken = [
+            return self._offer_to_next_agent(record, now=now)
+        accepted = [
             attempt
             for attempt in record.attempts
             if attempt.verdict is Verdict.ACCEPTED
             and not self._placement.is_evacuated(attempt.agent)
         ]
-        if taken:
-            # Its answer to the caller was lost; the upstream answers a copy again.
+        if accepted:
+            # The reply to the caller was lost; the upstream replies to a copy as well.
             return [
                 self._forwarding.to_agent(
                     a.agent, Purpose.OPEN, segment.datagram, record
                 )
-                for a in taken
+                for a in accepted
             ]
         record.opened_at = now
-        return self._try_next(record, now=now)
+        return self._offer_to_next_agent(record, now=now)
 
-    def _try_next(self, record: FlowRecord, *, now: float) -> list[Action]:
-        tried = {attempt.agent.member.member_id for attempt in record.attempts}
+    def _offer_to_next_agent(self, record: FlowRecord, *, now: float) -> list[Action]:
+        attempted = {attempt.agent.member.member_id for attempt in record.attempts}
         agents = self._fleet.agents_of(record.service_id)
-        agent = self._placement.choose(agents, record.flow, tried=tried, now=now)
+        agent = self._placement.choose(
+            agents, record.flow, attempted=attempted, now=now
+        )
         if agent is None:
-            return self._hold(record, now=now)
+            return self._hold_opening(record, now=now)
         attempt = Attempt(agent)
         record.attempts.append(attempt)
         agent.placed += 1
-        self._retries.append((now + RETRY_AFTER_SECONDS, record, attempt))
+        self._retry_timers.append((now + RETRY_AFTER_SECONDS, record, attempt))
         self._log.decision(
             "open",
             flow=format_flow(record.flow),
@@ -402,7 +406,7 @@
         ]
 
     def _warm_up(self, agent: Peer, service_id: str) -> list[Action]:
-        """Tells a cold agent what its upstream bears; agents read no configuration."""
+        """Sends a cold agent its warm-up rate; agents do not read the configuration."""
         if agent.member.weight >= FULL_WEIGHT or self._routes is None:
             return []
         rate = self._routes.warm_up_rates_by_service.get(service_id)
@@ -410,36 +414,42 @@
             return []
         return [ToPeer(agent.address, encode_warm_up_rate(WarmUpRate(rate)))]
 
-    def _try_again(self, record: FlowRecord, *, now: float) -> list[Action]:
-        """Tries another agent after silence, as far as accepted flows pay for it."""
-        if len(record.attempts) >= ATTEMPTS_MAXIMUM:
+    def _retry(self, record: FlowRecord, *, now: float) -> list[Action]:
+        """Offers a flow to another agent after a missing reply, within the budget."""
+        if len(record.attempts) >= MAX_ATTEMPTS:
             return []
         if not self._retry_budget.take():
             self._log.decision(
                 "not tried again", flow=format_flow(record.flow), reason="retry budget"
             )
             return []
-        return self._try_next(record, now=now)
+        return self._offer_to_next_agent(record, now=now)
 
-    def _hold(self, record: FlowRecord, *, now: float) -> list[Action]:
+    def _hold_opening(self, record: FlowRecord, *, now: float) -> list[Action]:
         if any(attempt.verdict is None for attempt in record.attempts):
             return []
         if self._is_evacuated(record.service_id, now=now):
-            return self._give_up(record)
-        if len(self._held) >= HELD_MAXIMUM or now - record.opened_at > HOLD_SECONDS:
-            return self._give_up(record)
-        # All agents were asked and refused; each may be asked once more.
+            return self._refuse(record)
+        if (
+            len(self._held_records) >= MAX_HELD_PACKETS
+            or now - record.opened_at > HOLD_SECONDS
+        ):
+            return self._refuse(record)
+        # All agents have refused; the flow may be offered to each of them again.
         record.attempts.clear()
-        self._held.append(record)
+        self._held_records.append(record)
         return []
 
     def _is_evacuated(self, service_id: str, *, now: float) -> bool:
-        """Says whether a service may get no new flow, so that no wait would help."""
+        """Returns whether all agents of a service are evacuated.
+
+        Holding a packet is useless then.
+        """
         agents = self._fleet.agents_of(service_id)
-        is_known = bool(agents) and self._fleet.is_complete(now=now)
-        return is_known and all(self._placement.is_evacuated(a) for a in agents)
+        has_all_agents = bool(agents) and self._fleet.is_complete(now=now)
+        return has_all_agents and all(self._placement.is_evacuated(a) for a in agents)
 
-    def _give_up(self, record: FlowRecord) -> list[Action]:
+    def _refuse(self, record: FlowRecord) -> list[Action]:
         if self._records.find(record.flow) is not record or record.owner is not None:
             return []
         self._records.drop(record.flow)
@@ -470,4 +480,4 @@
             return []
         if any(a.verdict in (None, Verdict.ACCEPTED) for a in record.attempts):
             return []
-        return self._try_next(record, now=now)
+        return self._offer_to_next_agent(record, now=now)
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -1,4 +1,4 @@
-"""The balancer of connection flows: an entry instance of the platform."""
+"""The balancer node: receives callers' packets and forwards them to agents."""
 
 from __future__ import annotations
 
@@ -55,23 +55,23 @@
 
 CONFIGURATION_PATH = "/configuration"
 EVACUATIONS_PATH = "/evacuations"
-# Longest name of an agent, so that the key of its list is one that the store takes.
-MEMBER_ID_MAXIMUM = 100
-# Agents only need to know that the balancer is there, and hear it with each flow.
+# Longest member id of an agent, so that the store accepts the key of its flow snapshot.
+MAX_MEMBER_ID_LENGTH = 100
+# Agents only track whether the balancer is alive, and receive messages with each flow.
 AGENT_STATUS_SECONDS = 5.0
-# Balancers tell each other the version that they hold: one that the store turns away
-# is behind for this long and the time to fetch it.
+# Balancers announce their configuration version to each other: one that the store
+# rejects is out of date for this interval and the time to fetch the configuration.
 BALANCER_STATUS_SECONDS = 0.5
 FETCH_TIMEOUT_SECONDS = 1.0
 DEPARTURE_STEP_SECONDS = 0.05
-# A leaving balancer names the owners of its flows in this many datagrams at most: one
-# for each agent and successor. 400 of some 150 bytes take a link of 7 Mbit/s for 70 ms;
-# flows left out are found by searches.
-OWNERS_MESSAGES_MAXIMUM = 400
+# Most datagrams with which a leaving balancer announces the owners of its flows: one
+# for each agent and successor. 400 of about 150 bytes occupy a link of 7 Mbit/s for
+# 70 ms; owners of the other flows are looked up.
+MAX_OWNERS_MESSAGES = 400
 
 
 class BalancerNode(ConnectionNode):
-    """Takes callers' packets and passes each to an agent."""
+    """Receives callers' packets and forwards each to an agent."""
 
     def __init__(self, settings: NodeSettings) -> None:
         """Binds the sockets.
@@ -101,8 +101,8 @@
             caller_packets.host, caller_packets.port
         )
         self.owns(self._caller_socket.close)
-        # Connections and a circuit breaker of their own: a configuration that can't be
-        # read must not hold up the node's lease, nor the reading of the members.
+        # Separate connections and a separate circuit breaker: failures to read the
+        # configuration must not delay lease renewal or reading the members.
         configuration_store = PlatformStore(settings.store, stopping=self.stopping)
         self.owns(configuration_store.close)
         self._follower = ConfigurationFollower(
@@ -112,12 +112,12 @@
             evacuations=EvacuationReader(
                 prefix=EVACUATIONS_PREFIX,
                 decode_domain=decode_evacuated_domain,
-                on_evacuations=lambda read: self.loop.call(
-                    lambda: self.evacuate(read, source=STORE)
+                on_evacuations=lambda evacuations: self.loop.call(
+                    lambda: self.evacuate(evacuations, source=STORE)
                 ),
                 log=self.log,
             ),
-            on_reading=self._take_configuration,
+            on_reading=self._apply_reading,
             random=self.random,
             log=self.log,
         )
@@ -134,25 +134,25 @@
         self._departure: Departure | None = None
 
     def on_start(self) -> None:
-        """Starts to forward; readiness follows with configuration and agents."""
+        """Starts forwarding; it becomes ready with a configuration and ready agents."""
         super().on_start()
         self.owns(self._follower.stop)
-        self.owns(self._end_fetch)
+        self.owns(self._cancel_fetch)
         self.spawn(self._follower.follow_until, self.stopping)
         self.spawn(self._snapshot_writer.write_until, self.stopping)
 
     def add_sockets(self) -> None:
-        """Adds the socket of callers' packets."""
+        """Adds the socket for callers' packets."""
         super().add_sockets()
         self.loop.add_socket(self._caller_socket, self._on_caller_datagram)
 
     @property
     def is_ready(self) -> bool:
-        """Whether flows can be placed: a configuration and one ready agent."""
+        """Whether it can place flows: it has a configuration and one ready agent."""
         return self.member.state is MemberState.READY
 
     @property
-    def _serves(self) -> bool:
+    def _can_place_flows(self) -> bool:
         if self._flows.routes is None:
             return False
         states = (agent.member.state for agent in self.fleet.agents())
@@ -160,11 +160,11 @@
 
     @property
     def configuration_version(self) -> int:
-        """Version in force; 0 before the first."""
+        """Version of the current configuration; 0 before the first."""
         return self._flows.routes.version if self._flows.routes else 0
 
     def begin_leaving(self) -> None:
-        """Plans the end: not ready as soon as the domain can spare this balancer."""
+        """Starts to leave: not ready once its domain has enough other balancers."""
         self._departure = Departure(
             started_at=self.clock(),
             leave_seconds=self.node_settings.leave_seconds,
@@ -175,7 +175,7 @@
     def on_message(
         self, message: PeerMessage, source: tuple[str, int], now: float
     ) -> Iterable[Action]:
-        """Takes an agent's word about a flow, or what others know of owners."""
+        """Handles verdicts, announcements of owners and evacuations."""
         if isinstance(message, Owned):
             return self._flows.on_owned(message, now=now)
         if isinstance(message, Evacuations):
@@ -187,7 +187,7 @@
         return self._flows.on_verdict(agent, message, now=now)
 
     def on_peer_status(self, peer: Peer, now: float) -> Iterable[Action]:
-        """Learns of a newer configuration or of an agent that takes flows."""
+        """Handles the status of a peer: a newer configuration or a ready agent."""
         if peer.member.role is Role.BALANCER:
             self._fetch_if_newer(peer, now)
             return ()
@@ -199,7 +199,7 @@
     def on_peer_restarted(
         self, peer: Peer, silent_since: float, now: float
     ) -> Iterable[Action]:
-        """Sends an agent again what it missed."""
+        """Resends the packets that an agent missed during its restart."""
         if peer.member.role is not Role.AGENT:
             return ()
         return [
@@ -208,15 +208,17 @@
         ]
 
     def on_due(self, now: float) -> float:
-        """Tells peers of this balancer and lets flows time out."""
+        """Sends heartbeats to peers and handles expired timers of flows."""
         self.perform(self._flows.tick(now=now))
         if now >= self._balancer_schedule.next_due:
-            for each in self._balancer_schedule.due(self.fleet.balancers(), now=now):
-                self.send_heartbeats(each)
-                self.perform(self._dissemination.to_balancers(each.peers))
+            for heartbeats in self._balancer_schedule.due(
+                self.fleet.balancers(), now=now
+            ):
+                self.send_heartbeats(heartbeats)
+                self.perform(self._dissemination.to_balancers(heartbeats.peers))
         if now >= self._agent_schedule.next_due:
-            for each in self._agent_schedule.due(self.fleet.agents(), now=now):
-                self.send_heartbeats(each)
+            for heartbeats in self._agent_schedule.due(self.fleet.agents(), now=now):
+                self.send_heartbeats(heartbeats)
         self._update_state()
         return min(
             self._flows.next_due(),
@@ -226,7 +228,7 @@
         )
 
     def _update_state(self) -> None:
-        state = MemberState.READY if self._serves else MemberState.JOINING
+        state = MemberState.READY if self._can_place_flows else MemberState.JOINING
         if self._departure is not None and self._departure.has_begun:
             state = MemberState.DRAINING
         if self.change_member(state=state, weight=self.member.weight, slots=1):
@@ -244,27 +246,30 @@
         if self._departure.may_end(peers, received_at=self._received_at, now=now):
             self.stopping.set()
         if self._departure.has_begun and not had_begun:
-            self._tell_owners(peers)
+            self._announce_owners(peers)
         return now + DEPARTURE_STEP_SECONDS
 
-    def _tell_owners(self, peers: list[Peer]) -> None:
-        """Names the owners of this balancer's flows to those that get them now.
+    def _announce_owners(self, peers: list[Peer]) -> None:
+        """Announces the owners of this balancer's flows to its successors.
 
-        Guards against hundreds of searches at once, each among up to all agents, on
-        links of a few Mbit/s, when routers move the flows.
+        Guards against hundreds of simultaneous owner lookups, each among up to all
+        agents, on links of a few Mbit/s, when routers move the flows.
         """
         messages = self._flows.encode_owned()
         ready = [peer for peer in peers if peer.member.state is MemberState.READY]
-        told = [(peer, message) for peer in ready for message in messages]
-        for peer, message in told[:OWNERS_MESSAGES_MAXIMUM]:
+        announcements = [(peer, message) for peer in ready for message in messages]
+        for peer, message in announcements[:MAX_OWNERS_MESSAGES]:
             self.send_datagram(message, peer.address)
         self.log.fact(
-            "owners told", messages=len(messages), peers=len(ready), all=len(told)
+            "owners told",
+            messages=len(messages),
+            peers=len(ready),
+            all=len(announcements),
         )
 
     def send_to_upstream(self, datagram: bytes) -> None:
-        """A balancer has no upstream."""
-        raise AssertionError("no upstream beside a balancer")
+        """Raises an error: a balancer has no upstream."""
+        raise AssertionError("a balancer has no upstream")
 
     def _on_caller_datagram(
         self, datagram: bytes, source: tuple[str, int], now: float
@@ -276,11 +281,11 @@
             return
         self.perform(self._flows.on_segment(segment, now=now))
 
-    def _take_configuration(self, reading: ConfigurationReading) -> None:
+    def _apply_reading(self, reading: ConfigurationReading) -> None:
         try:
             routes = decode_configuration(reading.value)
         except BadMessageError as error:
-            # Keeps the version in force: an older one is better than none.
+            # Keeps the current version: an older configuration is better than none.
             self.log.fact(
                 "configuration refused", source=reading.source, error=str(error)
             )
@@ -289,11 +294,11 @@
         self.loop.call(lambda: self.configure(routes, reading))
 
     def configure(self, routes: RouteTable, reading: ConfigurationReading) -> None:
-        """Puts a configuration in force unless a newer one is; on the loop's thread.
+        """Applies a configuration unless it is out of date; runs on the loop's thread.
 
         Args:
             routes: The configuration.
-            reading: The same as it was read, for peers that can't read it themselves.
+            reading: Its encoded form, for peers that can't read it from the store.
         """
         is_newer = self._flows.configure(routes)
         self.log.fact(
@@ -308,14 +313,14 @@
             return
         self._configuration_value = reading.value
         self._balancer_schedule.expedite()
-        self.perform(self._flows.take_early(now=self.clock()))
+        self.perform(self._flows.process_early_packets(now=self.clock()))
 
     def evacuate(self, evacuations: Evacuations, *, source: str) -> None:
-        """Puts evacuations in force unless newer ones are; on the loop's thread.
+        """Applies evacuations unless they are out of date; runs on the loop's thread.
 
         Args:
             evacuations: The evacuated failure domains.
-            source: Who gave them: the store or a peer's host.
+            source: Where they were read: the store or a peer's host.
         """
         if not self.evacuations.update(evacuations):
             return
@@ -348,42 +353,42 @@
             endpoint.host, endpoint.port, connect_timeout=FETCH_TIMEOUT_SECONDS
         )
         try:
-            # Before the configuration: with that the balancer begins to place flows.
+            # Before the configuration, with which the balancer starts placing flows.
             self._fetch_evacuations(client, source=peer_id)
-            answer = client.call(
+            response = client.call(
                 "GET", CONFIGURATION_PATH, timeout=FETCH_TIMEOUT_SECONDS
             )
-            if answer.status == 200:
+            if response.status == 200:
                 seconds = client.transfer.seconds
-                self._take_configuration(
-                    ConfigurationReading(answer.body, peer_id, seconds)
+                self._apply_reading(
+                    ConfigurationReading(response.body, peer_id, seconds)
                 )
         except OSError as error:
-            # The store's own watch goes on; the peer's next status tries again.
+            # The watch of the store continues; the peer's next status triggers a retry.
             self.log.fact("configuration fetch failed", peer=peer_id, error=str(error))
         finally:
             client.close()
             self._is_fetching = False
 
     def _fetch_evacuations(self, client: HttpClient, *, source: str) -> None:
-        answer = client.call("GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS)
-        if answer.status != HTTPStatus.OK:
-            # A peer of an older version; the store's own watch goes on.
-            self.log.fact("no evacuations", peer=source, status=answer.status)
+        response = client.call("GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS)
+        if response.status != HTTPStatus.OK:
+            # The peer runs an older version; the watch of the store continues.
+            self.log.fact("no evacuations", peer=source, status=response.status)
             return
         try:
-            fetched = evacuations_from_document(parse_table(answer.body))
+            fetched = evacuations_from_document(parse_table(response.body))
         except BadMessageError as error:
             self.log.fact("evacuations refused", peer=source, error=str(error))
             return
         self.loop.call(lambda: self.evacuate(fetched, source=source))
 
-    def _end_fetch(self) -> None:
+    def _cancel_fetch(self) -> None:
         if self._peer_client is not None:
             self._peer_client.close()
 
     def answer_peer(self, request: HttpRequest) -> HttpReply:
-        """Gives peers what operators wrote, keeps agents' lists."""
+        """Serves configuration and evacuations to peers, stores agents' snapshots."""
         if request.path == CONFIGURATION_PATH:
             value = self._configuration_value
             return HttpReply(200, value) if value else HttpReply(503)
@@ -393,20 +398,20 @@
         if request.path == EVACUATIONS_PATH:
             return HttpReply(200, encode_evacuations(current))
         if request.path.startswith(FLOW_LIST_PATH):
-            return self._keep_list(request)
+            return self._store_flow_snapshot(request)
         return super().answer_peer(request)
 
-    def _keep_list(self, request: HttpRequest) -> HttpReply:
+    def _store_flow_snapshot(self, request: HttpRequest) -> HttpReply:
         member_id = request.path.removeprefix(FLOW_LIST_PATH)
-        if not 0 < len(member_id) <= MEMBER_ID_MAXIMUM:
+        if not 0 < len(member_id) <= MAX_MEMBER_ID_LENGTH:
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
-        is_again = request.query == AGAIN_QUERY
-        written = self._snapshot_writer.hand_over(
-            member_id, request.body, is_again=is_again
+        is_retry = request.query == AGAIN_QUERY
+        write = self._snapshot_writer.hand_over(
+            member_id, request.body, is_again=is_retry
         )
         try:
-            return HttpReply(200 if written.result(WRITTEN_SECONDS) else 503)
+            return HttpReply(200 if write.result(WRITTEN_SECONDS) else 503)
         except TimeoutError:
-            # It may be written all the same; the agent writes it once more.
+            # The snapshot may still be written; the agent uploads it again.
             return HttpReply(503)
--- a/src/siskinshift/connections/early_packets.py
+++ b/src/siskinshift/connections/early_packets.py
@@ -1,8 +1,8 @@
-"""Callers' packets that came before a balancer had its first configuration.
+"""Buffers callers' packets until a balancer has its first configuration.
 
-Guards against callers that wait for their next copy, 0.2 to 1.6 s away, beside a
-balancer that has just got its configuration. Older ones are left to copies: their
-callers may have given up.
+Without the buffer callers would wait 0.2 to 1.6 s for their next retransmission
+although the balancer is ready. Older packets are dropped: their callers may have given
+up, and the others retransmit.
 """
 
 from __future__ import annotations
@@ -15,38 +15,42 @@
     from siskinshift.connections.segment import Segment
 
 
-# How long a packet waits for the first configuration. It is there within 0.1 s on a
-# good link, and within a second when it is long or the store is just back.
-EARLY_SECONDS = 1.0
-# 0.7 MB of the largest packets; the busiest balancer gets half of that in a second.
-EARLY_MAXIMUM = 512
+# Longest time that a packet is buffered. The first configuration arrives within 0.1 s
+# on a good link, and within a second if it is long or the store has just recovered.
+MAX_EARLY_SECONDS = 1.0
+# 0.7 MB of the largest packets; the busiest balancer receives half of that in a second.
+MAX_EARLY_PACKETS = 512
 
 
 class EarlyPackets:
-    """The packets that wait, oldest first; the oldest go when there are too many."""
+    """A bounded buffer of packets that drops the oldest when it is full."""
 
     def __init__(self) -> None:
-        """Holds none."""
-        self._early: deque[tuple[float, Segment]] = deque(maxlen=EARLY_MAXIMUM)
+        """Initializes an empty buffer."""
+        self._packets: deque[tuple[float, Segment]] = deque(maxlen=MAX_EARLY_PACKETS)
 
     def add(self, segment: Segment, *, now: float) -> None:
-        """Keeps a packet.
+        """Adds a packet.
 
         Args:
             segment: The packet.
             now: Clock reading, seconds.
         """
-        self._early.append((now, segment))
+        self._packets.append((now, segment))
 
     def take(self, *, now: float) -> list[Segment]:
-        """Gives the packets whose callers still wait.
+        """Removes all packets and returns those that are recent enough.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            The packets; none is kept any more.
+            The packets whose callers still wait.
         """
-        early = [segment for at, segment in self._early if now - at <= EARLY_SECONDS]
-        self._early.clear()
-        return early
+        recent = [
+            segment
+            for added_at, segment in self._packets
+            if now - added_at <= MAX_EARLY_SECONDS
+        ]
+        self._packets.clear()
+        return recent
--- a/src/siskinshift/connections/forwarding.py
+++ b/src/siskinshift/connections/forwarding.py
@@ -1,4 +1,4 @@
-"""Writes the messages by which a balancer passes callers' packets to agents."""
+"""Encodes the messages with which a balancer forwards callers' packets to agents."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Forwarding:
-    """Packets on their way to agents, and the last ones for agents that restart."""
+    """Encodes packets for agents and keeps recent ones for agents that restart."""
 
     def __init__(self) -> None:
-        """Starts without any packet."""
-        self._tags_by_service: dict[str, int] = {}
-        self._recent = RecentPackets()
+        """Initializes the forwarding without recent packets."""
+        self._tags_by_service_id: dict[str, int] = {}
+        self._recent_packets = RecentPackets()
 
     def to_owner(
         self, record: FlowRecord, owner: Peer, segment: Segment, *, now: float
     ) -> ToPeer:
-        """Passes a packet to the agent that owns its flow.
+        """Forwards a packet to the agent that owns its flow.
 
         Args:
             record: The flow.
@@ -41,9 +41,9 @@
             The message.
         """
         if segment.length:
-            self._recent.add(owner.member.member_id, segment.datagram, now=now)
+            self._recent_packets.add(owner.member.member_id, segment.datagram, now=now)
         if not record.owned_header:
-            tag = self._tag_of(record.service_id)
+            tag = self._service_tag(record.service_id)
             record.owned_header = encode_forward(Purpose.OWNED, tag, b"", record.terms)
         return ToPeer(owner.address, record.owned_header + segment.datagram)
 
@@ -54,43 +54,43 @@
         datagram: bytes,
         record: FlowRecord | None = None,
     ) -> ToPeer:
-        """Passes a packet to an agent.
+        """Forwards a packet to an agent.
 
         Args:
             agent: The agent.
-            purpose: What is asked of it.
+            purpose: What the agent is requested to do with the packet.
             datagram: The packet.
-            record: The flow, if it is known.
+            record: The flow, or None if the balancer has no record of it.
 
         Returns:
             The message.
         """
-        tag = self._tag_of(record.service_id) if record is not None else 0
+        tag = self._service_tag(record.service_id) if record is not None else 0
         terms = record.terms if record is not None else NO_TERMS
         return ToPeer(agent.address, encode_forward(purpose, tag, datagram, terms))
 
     def all_to_agent(
         self, agent: Peer, purpose: Purpose, packets: list[bytes], record: FlowRecord
     ) -> list[ToPeer]:
-        """Passes several packets of a flow; see `to_agent`."""
+        """Forwards several packets of a flow; see `to_agent`."""
         return [self.to_agent(agent, purpose, packet, record) for packet in packets]
 
-    def again(self, agent: Peer, *, since: float, now: float) -> list[ToPeer]:
-        """Passes on again what an agent missed while it was away.
+    def resend(self, agent: Peer, *, since: float, now: float) -> list[ToPeer]:
+        """Forwards again the packets that an agent missed during its restart.
 
         Args:
             agent: The agent.
-            since: When the process before was last heard, seconds.
+            since: When its previous process was last seen, seconds.
             now: Clock reading, seconds.
 
         Returns:
             The messages.
         """
-        missed = self._recent.take(agent.member.member_id, since=since, now=now)
+        missed = self._recent_packets.take(agent.member.member_id, since=since, now=now)
         return [self.to_agent(agent, Purpose.OWNED, packet) for packet in missed]
 
-    def _tag_of(self, service_id: str) -> int:
-        tag = self._tags_by_service.get(service_id)
+    def _service_tag(self, service_id: str) -> int:
+        tag = self._tags_by_service_id.get(service_id)
         if tag is None:
-            tag = self._tags_by_service[service_id] = service_tag(service_id)
+            tag = self._tags_by_service_id[service_id] = service_tag(service_id)
         return tag
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -1,8 +1,8 @@
-"""Finds out which agent owns a flow that this balancer does not know.
+"""Finds the agent that owns a flow which is not in this balancer's cache.
 
-A balancer's memory of flows is a cache: it is empty after a restart, and routers move
-flows between balancers. Whom to ask in which order is `owner_lookup`'s; here stand the
-searches under way, their part of the link, and what the agents' words mean for them.
+The cache is empty after a restart, and routers move flows between balancers.
+`owner_lookup` selects the agents to query; this module schedules the active lookups,
+limits their bandwidth and evaluates the agents' verdicts.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from siskinshift.connections.actions import ResetCaller
 from siskinshift.connections.actions import ToPeer
 from siskinshift.connections.owner_lookup import OwnerLookup
-from siskinshift.connections.peer_codec import encode_question
+from siskinshift.connections.peer_codec import encode_owner_query
 from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.peer_messages import Verdict
@@ -34,27 +34,27 @@
     from siskinshift.observability.event_log import EventLog
 
 
-# Searches take at most this part of the link, and this much on the strongest. Without a
-# bound the questions for some hundred flows fill a link of 7 Mbit/s; what is lost is
-# asked again, and the link stays full after the cause is gone.
-SEARCH_LINK_PART = 0.15
-SEARCH_BYTES_PER_SECOND_MAXIMUM = 500_000.0
-SEARCH_BURST_SECONDS = 1.0
-# A search that finds no room goes on after this; the next of the caller's copies comes
-# after 200 ms and more.
-POSTPONED_SECONDS = 0.1
-# What a caller has sent is looked for this long: then its next copy has come or it has
-# given up, and an agent that has not answered counts as silent. The pause doubles, so
-# that it is five rounds among all agents.
-SEARCH_SECONDS_MAXIMUM = 2.0
-# Longest pause between two questions to agents that have not answered.
-ASK_AGAIN_SECONDS_MAXIMUM = 0.4
-# Headers of the datagrams below what we count.
+# Lookups take at most this fraction of the link, and this rate on the fastest. Without
+# a limit the queries for a few hundred flows saturate a link of 7 Mbit/s; lost queries
+# are repeated, and the link stays saturated after the cause is gone.
+LOOKUP_LINK_FRACTION = 0.15
+MAX_LOOKUP_BYTES_PER_SECOND = 500_000.0
+LOOKUP_BURST_SECONDS = 1.0
+# Delay of a lookup for which the link budget is exhausted; the caller's next copy
+# arrives after 200 ms or more.
+LOOKUP_RETRY_SECONDS = 0.1
+# Longest duration of a lookup: by then the caller's next copy has arrived or the caller
+# has given up, and an agent that has not replied is unresponsive. The pause doubles,
+# which allows five rounds among all agents.
+MAX_LOOKUP_SECONDS = 2.0
+# Longest pause between two queries to agents that have not replied.
+MAX_REQUERY_PAUSE_SECONDS = 0.4
+# IP and UDP headers, which the length of a message does not include.
 DATAGRAM_HEADER_BYTES = 28
 
 
 class OwnerFinder:
-    """The searches of one balancer."""
+    """Active owner lookups of one balancer."""
 
     def __init__(
         self,
@@ -66,50 +66,50 @@
         link_bytes_per_second: float,
         log: EventLog,
     ) -> None:
-        """Starts without any search.
+        """Initializes the finder without lookups.
 
         Args:
             fleet: The agents.
-            records: What the balancer knows of flows.
-            forwarding: Writes the messages.
+            records: The balancer's cache of flows.
+            forwarding: Encodes the messages.
             failure_domain: Failure domain of the balancer.
-            link_bytes_per_second: What its link carries.
-            log: Takes a line for each decision.
+            link_bytes_per_second: Capacity of its link.
+            log: Records each decision.
         """
         self._fleet = fleet
         self._records = records
         self._forwarding = forwarding
         self._failure_domain = failure_domain
         self._log = log
-        self._searches: list[tuple[float, int, FlowRecord, OwnerLookup]] = []
-        self._search_numbers = count()
+        self._lookups: list[tuple[float, int, FlowRecord, OwnerLookup]] = []
+        self._lookup_numbers = count()
         self._budget = ByteBudget(
             bytes_per_second=min(
-                SEARCH_LINK_PART * link_bytes_per_second,
-                SEARCH_BYTES_PER_SECOND_MAXIMUM,
+                LOOKUP_LINK_FRACTION * link_bytes_per_second,
+                MAX_LOOKUP_BYTES_PER_SECOND,
             ),
-            burst_seconds=SEARCH_BURST_SECONDS,
+            burst_seconds=LOOKUP_BURST_SECONDS,
         )
 
     @property
     def next_due(self) -> float:
-        """When `tick` is needed next: clock reading, seconds."""
-        return self._searches[0][0] if self._searches else float("inf")
+        """When `tick` is due next: clock reading, seconds."""
+        return self._lookups[0][0] if self._lookups else float("inf")
 
     def tick(self, *, now: float) -> list[Action]:
-        """Goes on with searches whose agents have not answered.
+        """Continues lookups whose agents have not replied.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
         actions: list[Action] = []
-        while self._searches and self._searches[0][0] <= now:
-            _, _, record, search = heapq.heappop(self._searches)
-            if record.search is search and search.next_wave_at <= now:
-                actions += self._next_wave(record, search, now=now)
+        while self._lookups and self._lookups[0][0] <= now:
+            _, _, record, lookup = heapq.heappop(self._lookups)
+            if record.search is lookup and lookup.next_batch_at <= now:
+                actions += self._query_next_batch(record, lookup, now=now)
         return actions
 
     def find(
@@ -119,7 +119,7 @@
         *,
         now: float,
     ) -> list[Action]:
-        """Takes a packet of a flow whose owner is not known.
+        """Handles a packet of a flow whose owner is unknown.
 
         Args:
             record: The flow.
@@ -127,22 +127,22 @@
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
-        search = record.search
-        if search is None or search.is_over(self._fleet, now=now):
-            return self._begin(record, segment.datagram, now=now)
-        search.add(segment.datagram)
+        lookup = record.search
+        if lookup is None or lookup.is_finished(self._fleet, now=now):
+            return self._start(record, segment.datagram, now=now)
+        lookup.add(segment.datagram)
         if self._budget.wait(now=now):
             return []
-        known = self._fleet.peers_by_id
-        peers = [known[i] for i in sorted(search.pending & known.keys())]
-        return self._ask(record, search, [segment.datagram], peers, now=now)
+        peers_by_id = self._fleet.peers_by_id
+        peers = [peers_by_id[i] for i in sorted(lookup.pending & peers_by_id.keys())]
+        return self._query(record, lookup, [segment.datagram], peers, now=now)
 
     def on_verdict(
         self, agent: Peer, verdict: FlowVerdict, record: FlowRecord, *, now: float
     ) -> list[Action]:
-        """Takes an agent's word about who owns a flow.
+        """Handles an agent's verdict about the ownership of a flow.
 
         Args:
             agent: The agent.
@@ -151,7 +151,7 @@
             now: Clock reading, seconds.
 
         Returns:
-            What to do.
+            Actions to perform.
         """
         if verdict.verdict is Verdict.MINE:
             return self.on_owner(agent, record)
@@ -162,153 +162,157 @@
         return self._on_not_mine(agent, record, verdict.packet, now=now)
 
     def on_owner(self, agent: Peer, record: FlowRecord) -> list[Action]:
-        """Learns who owns a flow that is searched for, from its owner or another node.
+        """Completes a lookup when the owner or another node has announced the owner.
 
         Args:
             agent: The owner.
             record: The flow.
 
         Returns:
-            The packets that wait, unless the owner has them already.
+            Messages with the buffered packets, unless they were sent to the owner.
         """
-        search = record.search
+        lookup = record.search
         record.owner = agent
         record.search = None
         member_id = agent.member.member_id
         self._log.decision(
             "owner found", flow=format_flow(record.flow), agent=member_id
         )
-        if search is None or search.has_packets(member_id):
+        if lookup is None or lookup.was_sent_packets(member_id):
             return []
-        packets = search.packets
+        packets = lookup.packets
         return list(
             self._forwarding.all_to_agent(agent, Purpose.OWNED, packets, record)
         )
 
-    def _begin(
+    def _start(
         self, record: FlowRecord, packet: bytes, *, now: float, denied_by: str = ""
     ) -> list[Action]:
         record.search = OwnerLookup(
             flow=record.flow,
             service_ids=record.service_ids,
             packets=[packet],
-            first=tuple(a.agent.member.member_id for a in record.attempts),
-            asked={denied_by} if denied_by else set(),
+            preferred_ids=tuple(a.agent.member.member_id for a in record.attempts),
+            queried={denied_by} if denied_by else set(),
             denied={denied_by} if denied_by else set(),
-            began_at=now,
+            started_at=now,
         )
-        return self._next_wave(record, record.search, now=now)
+        return self._query_next_batch(record, record.search, now=now)
 
-    def _next_wave(
-        self, record: FlowRecord, search: OwnerLookup, *, now: float
+    def _query_next_batch(
+        self, record: FlowRecord, lookup: OwnerLookup, *, now: float
     ) -> list[Action]:
         if self._budget.wait(now=now):
-            return self._wait_for_room(record, search, now=now)
-        agents = search.next_wave(
+            return self._postpone(record, lookup, now=now)
+        agents = lookup.next_batch(
             self._fleet, failure_domain=self._failure_domain, now=now
         )
         if agents:
-            self._schedule(record, search)
-            return self._ask(record, search, search.packets, agents, now=now)
-        waits_for = search.waits_for(self._fleet, now=now)
-        if waits_for:
-            return self._ask_again(record, search, waits_for, now=now)
-        if not self._fleet.is_complete(now=now) or not search.is_conclusive:
-            # The owner may be an agent that has not made itself known yet, or that
-            # this balancer can't hear.
-            return self._ask_all_again(record, search, now=now)
+            self._schedule(record, lookup)
+            return self._query(record, lookup, lookup.packets, agents, now=now)
+        awaited = lookup.awaited_agents(self._fleet, now=now)
+        if awaited:
+            return self._requery(record, lookup, awaited, now=now)
+        if not self._fleet.is_complete(now=now) or not lookup.is_conclusive:
+            # The owner may be an agent that was not discovered yet, or whose replies
+            # do not reach this balancer.
+            return self._restart_later(record, lookup, now=now)
         record.search = None
         self._records.drop(record.flow)
         self._log.decision(
             "reset",
             flow=format_flow(record.flow),
             reason="no upstream holds the flow",
-            asked=len(search.asked),
+            asked=len(lookup.queried),
         )
         return [ResetCaller(record.flow, record.acknowledged)]
 
-    def _wait_for_room(
-        self, record: FlowRecord, search: OwnerLookup, *, now: float
+    def _postpone(
+        self, record: FlowRecord, lookup: OwnerLookup, *, now: float
     ) -> list[Action]:
-        """Lets a search go on when the link has room; what it has asked is kept."""
-        if not search.asked and now - search.began_at > SEARCH_SECONDS_MAXIMUM:
-            return self._give_up(record, reason="link budget")
-        search.next_wave_at = now + POSTPONED_SECONDS
-        self._schedule(record, search)
+        """Delays a lookup until the link budget allows it; its progress is kept."""
+        if not lookup.queried and now - lookup.started_at > MAX_LOOKUP_SECONDS:
+            return self._abandon(record, reason="link budget")
+        lookup.next_batch_at = now + LOOKUP_RETRY_SECONDS
+        self._schedule(record, lookup)
         return []
 
-    def _ask_again(
+    def _requery(
         self,
         record: FlowRecord,
-        search: OwnerLookup,
+        lookup: OwnerLookup,
         agents: list[Peer],
         *,
         now: float,
     ) -> list[Action]:
-        """Asks those once more that have not answered.
+        """Queries agents again that have not replied.
 
-        Guards against a caller that waits for its own next copy, up to 1.6 s away,
-        because a question or its answer was lost.
+        Guards against a lost query or reply: the caller would wait for its own next
+        retransmission, up to 1.6 s.
         """
-        pause = max(POSTPONED_SECONDS, now - search.began_at)
-        due = now + min(pause, ASK_AGAIN_SECONDS_MAXIMUM)
-        if now < search.moment_ends_at:
-            due = search.moment_ends_at
-        if not self._go_on(record, search, due=due, now=now):
+        pause = max(LOOKUP_RETRY_SECONDS, now - lookup.started_at)
+        due = now + min(pause, MAX_REQUERY_PAUSE_SECONDS)
+        if now < lookup.reply_window_ends_at:
+            due = lookup.reply_window_ends_at
+        if not self._reschedule(record, lookup, due=due, now=now):
             return []
-        search.ask_again(agents)
-        return self._ask(record, search, search.packets, agents, now=now)
+        lookup.mark_requeried(agents)
+        return self._query(record, lookup, lookup.packets, agents, now=now)
 
-    def _ask_all_again(
-        self, record: FlowRecord, search: OwnerLookup, *, now: float
+    def _restart_later(
+        self, record: FlowRecord, lookup: OwnerLookup, *, now: float
     ) -> list[Action]:
-        """Begins a search anew, with the packets that it has.
+        """Schedules a restart of a lookup with the packets that it has.
 
-        Guards against a caller that waits for its own next copy, up to 1.6 s away,
-        while the owner has long made itself known.
+        Guards against a caller that waits up to 1.6 s for its own next retransmission
+        although the owner has been discovered meanwhile.
         """
-        due = now + max(POSTPONED_SECONDS, now - search.began_at)
-        if self._go_on(record, search, due=due, now=now):
-            search.begin_again()
+        due = now + max(LOOKUP_RETRY_SECONDS, now - lookup.started_at)
+        if self._reschedule(record, lookup, due=due, now=now):
+            lookup.restart()
         return []
 
-    def _go_on(
-        self, record: FlowRecord, search: OwnerLookup, *, due: float, now: float
+    def _reschedule(
+        self, record: FlowRecord, lookup: OwnerLookup, *, due: float, now: float
     ) -> bool:
-        """Lets a search go on later, or gives it up; says which."""
-        is_over = now - search.began_at > SEARCH_SECONDS_MAXIMUM
-        if is_over and now >= search.moment_ends_at:
-            self._give_up(record, reason="agents silent")
+        """Schedules the next step of a lookup, or abandons it at its deadline.
+
+        Returns:
+            Whether the lookup continues.
+        """
+        is_expired = now - lookup.started_at > MAX_LOOKUP_SECONDS
+        if is_expired and now >= lookup.reply_window_ends_at:
+            self._abandon(record, reason="agents silent")
             return False
-        search.next_wave_at = due
-        self._schedule(record, search)
+        lookup.next_batch_at = due
+        self._schedule(record, lookup)
         return True
 
-    def _give_up(self, record: FlowRecord, *, reason: str) -> list[Action]:
-        # The caller's next packet begins another search.
+    def _abandon(self, record: FlowRecord, *, reason: str) -> list[Action]:
+        # The caller's next packet starts another lookup.
         record.search = None
         self._log.decision("not searched", flow=format_flow(record.flow), reason=reason)
         return []
 
-    def _schedule(self, record: FlowRecord, search: OwnerLookup) -> None:
-        number = next(self._search_numbers)
-        heapq.heappush(self._searches, (search.next_wave_at, number, record, search))
+    def _schedule(self, record: FlowRecord, lookup: OwnerLookup) -> None:
+        number = next(self._lookup_numbers)
+        heapq.heappush(self._lookups, (lookup.next_batch_at, number, record, lookup))
 
-    def _ask(
+    def _query(
         self,
         record: FlowRecord,
-        search: OwnerLookup,
+        lookup: OwnerLookup,
         packets: list[bytes],
         agents: list[Peer],
         *,
         now: float,
     ) -> list[Action]:
-        question = encode_question(OwnerQuery(record.flow, record.acknowledged))
+        query = encode_owner_query(OwnerQuery(record.flow, record.acknowledged))
         actions: list[ToPeer] = []
         for agent in agents:
             self._fleet.asked(agent, now=now)
-            if agent.member.member_id in search.questioned:
-                actions.append(ToPeer(agent.address, question))
+            if agent.member.member_id in lookup.queried_without_packets:
+                actions.append(ToPeer(agent.address, query))
             else:
                 actions += self._forwarding.all_to_agent(
                     agent, Purpose.SEARCH, packets, record
@@ -320,19 +324,22 @@
     def _on_unsure(
         self, agent: Peer, record: FlowRecord, *, now: float
     ) -> list[Action]:
-        """Lets an agent find out by a packet of the flow, the shortest there is.
+        """Sends an agent the shortest packet of the flow, so that it can decide.
 
-        Guards against a full link after a loss of power: nearly all agents are unsure
-        then, and all packets of a request for each of them are 0.3 MB. Those for which
-        the link has no room are asked again with the search's next round.
+        Guards against a saturated link after a power failure: nearly all agents are
+        unsure then, and sending all packets of a request to each takes 0.3 MB. Agents
+        for which the budget is exhausted are queried again in the next round.
         """
-        search = record.search
+        lookup = record.search
         member_id = agent.member.member_id
-        if search is None or member_id not in search.questioned & search.pending:
+        if (
+            lookup is None
+            or member_id not in lookup.queried_without_packets & lookup.pending
+        ):
             return []
         if self._budget.wait(now=now):
             return []
-        packet = min(search.packets, key=len)
+        packet = min(lookup.packets, key=len)
         action = self._forwarding.to_agent(agent, Purpose.SEARCH, packet, record)
         self._budget.take(len(action.datagram) + DATAGRAM_HEADER_BYTES, now=now)
         return [action]
@@ -340,12 +347,12 @@
     def _on_refuted(
         self, record: FlowRecord, packet: bytes, *, now: float, denied_by: str = ""
     ) -> list[Action]:
-        """Looks for the owner of a flow whose supposed one says that it is not."""
+        """Starts a lookup for a flow that its presumed owner does not confirm."""
         record.owner = None
         record.is_refuted = True
         if not packet:
             return []
-        return self._begin(record, packet, now=now, denied_by=denied_by)
+        return self._start(record, packet, now=now, denied_by=denied_by)
 
     def _on_not_mine(
         self, agent: Peer, record: FlowRecord, packet: bytes, *, now: float
@@ -353,10 +360,10 @@
         member_id = agent.member.member_id
         if record.owner is agent:
             return self._on_refuted(record, packet, now=now, denied_by=member_id)
-        search = record.search
-        if search is None or member_id not in search.pending:
+        lookup = record.search
+        if lookup is None or member_id not in lookup.pending:
             return []
-        search.said_no(member_id)
-        if search.waits_for(self._fleet, now=now):
+        lookup.mark_denied(member_id)
+        if lookup.awaited_agents(self._fleet, now=now):
             return []
-        return self._next_wave(record, search, now=now)
+        return self._query_next_batch(record, lookup, now=now)
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -1,11 +1,11 @@
-"""Whom a balancer asks for the owner of a flow, and in which order.
-
-Pattern: a balancer is restarted, or routers move hundreds of flows to it at once. To
-ask all agents of a service with each flow's packet takes 45 packets a flow in a fleet
-of 56 agents, and the weakest links carry 5 Mbit/s. A flow is placed on one of a few
-agents that its own hash names, so those are sent the packet first: four packets find
-nearly all owners. The rest, asked only when those have said no or nothing, get a
-question of 17 bytes, and the packets only if they may hold the flow.
+"""Selects the agents that are queried for the owner of a flow, and their order.
+
+After a restart of a balancer, or when routers move hundreds of flows to it at once,
+sending each flow's packet to all agents of a service takes 45 packets a flow in a fleet
+of 56 agents, while the weakest links carry 5 Mbit/s. A flow is placed on one of a few
+agents selected by its hash, so those receive the packet first: four packets find nearly
+all owners. The other agents are queried only if these deny the flow or do not reply.
+They receive a query of 17 bytes, and the packets only if they may hold the flow.
 """
 
 from __future__ import annotations
@@ -25,37 +25,35 @@
     from siskinshift.connections.fleet import Peer
 
 
-# Agents of a failure domain that a flow's hash names. Two are compared for a new flow,
-# and as many are left when those refuse or die.
+# Agents of a failure domain that a flow's hash selects. Two are compared for a new
+# flow, which leaves two more if those refuse or fail.
 HOME_AGENTS = 4
-# An odd number whose bits look random, as in multiplicative hashing: one multiplication
-# ranks an agent for a flow, where a hash of each name would cost more than the rest of
-# an opening.
-_MIXER = 0x9E3779B97F4A7C15
+# Odd multiplier for multiplicative hashing: one multiplication ranks an agent for a
+# flow, whereas a hash of each name would cost more than the rest of an opening.
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _MASK = (1 << 64) - 1
-# Agents that have not answered by now are not waited for; a verdict takes one to three
-# milliseconds.
-WAVE_SECONDS = 0.03
-# An agent that has been silent answers within this if it lives.
-MOMENT_SECONDS = 0.1
-# Part of the agents asked that may have fallen silent while the others' word that they
-# do not hold the flow still counts as everybody's. Instances that die together are a
-# failure domain's, a third to a fifth; beyond that the silence is likely the balancer's
-# own, whose link or processor is overloaded.
-SILENT_PART_MAXIMUM = 0.25
-# Packets kept for a search; callers have sixteen on the way at most.
-PACKETS_MAXIMUM = 16
+# Time until the next batch is queried; a verdict takes one to three milliseconds.
+BATCH_SECONDS = 0.03
+# A live agent replies within this time even if it was unresponsive before.
+REPLY_WINDOW_SECONDS = 0.1
+# Largest fraction of the queried agents that may be unresponsive while the denials of
+# the others still count for all. Instances that fail together belong to one failure
+# domain, a third to a fifth of all; beyond that the cause is more likely this
+# balancer's own link or processor, which is overloaded.
+MAX_UNRESPONSIVE_FRACTION = 0.25
+# Packets kept for a lookup; a caller has at most sixteen in flight.
+MAX_PACKETS = 16
 
 
 def home_agents(agents: Sequence[Peer], flow: bytes) -> list[Peer]:
-    """Names the agents that a flow belongs to first, by rendezvous hashing.
+    """Selects the preferred agents of a flow by rendezvous hashing.
 
     Args:
         agents: Agents to choose from.
         flow: The flow.
 
     Returns:
-        A few of them, the same on every balancer that knows the same agents.
+        A few of them, the same on every balancer that has the same list of agents.
     """
     if len(agents) <= HOME_AGENTS:
         return list(agents)
@@ -63,46 +61,47 @@
     seed = xxhash.xxh3_64_intdigest(flow)
 
     def rank(agent: Peer) -> int:
-        return (agent.key ^ seed) * _MIXER & _MASK
+        return (agent.key ^ seed) * _HASH_MULTIPLIER & _MASK
 
     return heapq.nsmallest(HOME_AGENTS, agents, key=rank)
 
 
 @define(eq=False)
 class OwnerLookup:
-    """A search for the owner of one flow.
+    """A lookup of the owner of one flow.
 
     Attributes:
         flow: The flow.
-        service_ids: Services that may hold it by the configuration.
-        packets: Packets of the flow so far; each agent that is asked gets all, since
-            the one that holds the flow needs them.
-        first: Member ids to ask first, since they were asked to open the flow.
-        pending: Member ids that were asked and have not said no.
-        asked: Member ids that were asked.
-        questioned: Member ids that were asked without a packet.
-        denied: Member ids that have said no.
-        wave: Number of the next wave.
-        next_wave_at: When to ask further ones at the latest, seconds.
-        asked_at: When agents were last asked that had not been asked yet, seconds.
-        began_at: When its first packet came, seconds.
+        service_ids: Services that may hold it according to the configuration.
+        packets: Packets of the flow so far; the owner needs all of them.
+        preferred_ids: Member ids to query first, since the flow was offered to them.
+        pending: Member ids that were queried and have not denied the flow.
+        queried: Member ids that were queried.
+        queried_without_packets: Member ids that were sent a query without packets.
+        denied: Member ids that have denied the flow.
+        batch: Index of the next batch.
+        next_batch_at: When the next batch is due at the latest, seconds.
+        queried_at: When an agent was last queried for the first time, seconds.
+        started_at: When the first packet arrived, seconds.
     """
 
     flow: bytes
     service_ids: tuple[str, ...]
     packets: list[bytes]
-    first: tuple[str, ...] = ()
+    preferred_ids: tuple[str, ...] = ()
     pending: set[str] = Factory(set)
-    asked: set[str] = Factory(set)
-    questioned: set[str] = Factory(set)
+    queried: set[str] = Factory(set)
+    queried_without_packets: set[str] = Factory(set)
     denied: set[str] = Factory(set)
-    wave: int = 0
-    next_wave_at: float = 0.0
-    asked_at: float = 0.0
-    began_at: float = 0.0
+    batch: int = 0
+    next_batch_at: float = 0.0
+    queried_at: float = 0.0
+    started_at: float = 0.0
 
-    def next_wave(self, fleet: Fleet, *, failure_domain: str, now: float) -> list[Peer]:
-        """Goes on to the next agents that were not asked yet.
+    def next_batch(
+        self, fleet: Fleet, *, failure_domain: str, now: float
+    ) -> list[Peer]:
+        """Selects the next agents that were not queried yet.
 
         Args:
             fleet: The agents.
@@ -110,55 +109,60 @@
             now: Clock reading, seconds.
 
         Returns:
-            Agents to ask; none when all were asked.
+            Agents to query; empty when all were queried.
         """
         while True:
-            agents = _WAVES[self.wave](self, fleet, failure_domain)
-            new = [a for a in agents if a.member.member_id not in self.asked]
-            is_likely = self.wave < _LIKELY_WAVES
-            is_last = self.wave == len(_WAVES) - 1
-            # The last wave is everybody and is looked at again. Guards against agents
-            # that become known after it, while a balancer that has just started reads
-            # who is there: unasked, one of them may hold the flow that would be reset.
+            agents = _BATCHES[self.batch](self, fleet, failure_domain)
+            new = [a for a in agents if a.member.member_id not in self.queried]
+            sends_packets = self.batch < _PACKET_BATCH_COUNT
+            is_last = self.batch == len(_BATCHES) - 1
+            # The last batch contains all agents and is evaluated again: a balancer that
+            # has just started discovers further agents after it, and one of them may
+            # hold the flow, which would otherwise be reset.
             if not is_last:
-                self.wave += 1
+                self.batch += 1
             if new:
-                names = {agent.member.member_id for agent in new}
-                self.asked |= names
-                if not is_likely:
-                    self.questioned |= names
-                self.pending |= names
-                self.asked_at = now
-                self.next_wave_at = now + WAVE_SECONDS
+                new_ids = {agent.member.member_id for agent in new}
+                self.queried |= new_ids
+                if not sends_packets:
+                    self.queried_without_packets |= new_ids
+                self.pending |= new_ids
+                self.queried_at = now
+                self.next_batch_at = now + BATCH_SECONDS
                 return new
             if is_last:
                 return []
 
-    def begin_again(self) -> None:
-        """Asks everybody once more, with the packets that it has."""
-        self.wave = 0
-        for names in (self.pending, self.asked, self.questioned, self.denied):
-            names.clear()
+    def restart(self) -> None:
+        """Starts over with the first batch and keeps the packets."""
+        self.batch = 0
+        for member_ids in (
+            self.pending,
+            self.queried,
+            self.queried_without_packets,
+            self.denied,
+        ):
+            member_ids.clear()
 
     def add(self, packet: bytes) -> None:
-        """Keeps a further packet of the flow.
+        """Adds a packet of the flow.
 
         Args:
-            packet: The packet; a copy of one that is kept changes nothing.
+            packet: The packet; a copy of a stored packet is ignored.
         """
-        if packet not in self.packets and len(self.packets) < PACKETS_MAXIMUM:
+        if packet not in self.packets and len(self.packets) < MAX_PACKETS:
             self.packets.append(packet)
 
-    def has_packets(self, member_id: str) -> bool:
-        """Says whether an agent was sent the packets, and not only asked.
+    def was_sent_packets(self, member_id: str) -> bool:
+        """Returns whether an agent was sent the packets, not only a query.
 
         Args:
             member_id: The agent.
         """
-        return member_id in self.asked - self.questioned
+        return member_id in self.queried - self.queried_without_packets
 
-    def said_no(self, member_id: str) -> None:
-        """Takes note that an agent does not hold the flow.
+    def mark_denied(self, member_id: str) -> None:
+        """Records that an agent does not hold the flow.
 
         Args:
             member_id: The agent.
@@ -168,100 +172,121 @@
 
     @property
     def is_conclusive(self) -> bool:
-        """Whether enough have said no, so that nobody holds the flow.
+        """Whether enough agents have denied the flow to conclude that none holds it.
 
-        Guards against a balancer that can't hear: a reset would cut a living flow.
+        Guards against a balancer that receives no replies: a reset would cut an open
+        flow.
         """
-        silent = len(self.asked - self.denied)
-        return silent <= max(1, SILENT_PART_MAXIMUM * len(self.asked))
+        unresponsive = len(self.queried - self.denied)
+        return unresponsive <= max(1, MAX_UNRESPONSIVE_FRACTION * len(self.queried))
 
-    def is_over(self, fleet: Fleet, *, now: float) -> bool:
-        """Says whether nobody is left to answer or to be asked soon.
+    def is_finished(self, fleet: Fleet, *, now: float) -> bool:
+        """Returns whether no reply is awaited and no batch is scheduled.
 
         Args:
             fleet: The agents.
             now: Clock reading, seconds.
 
         Returns:
-            Whether a new search has to begin.
+            Whether a new lookup has to start.
         """
-        return now >= self.next_wave_at and not self.waits_for(fleet, now=now)
+        return now >= self.next_batch_at and not self.awaited_agents(fleet, now=now)
 
     @property
-    def moment_ends_at(self) -> float:
-        """Until when silent agents are waited for: clock reading, seconds."""
-        return self.asked_at + MOMENT_SECONDS
+    def reply_window_ends_at(self) -> float:
+        """Until when unresponsive agents are awaited: clock reading, seconds."""
+        return self.queried_at + REPLY_WINDOW_SECONDS
 
-    def waits_for(self, fleet: Fleet, *, now: float) -> list[Peer]:
-        """Lists the agents that may still say yes.
+    def awaited_agents(self, fleet: Fleet, *, now: float) -> list[Peer]:
+        """Lists the agents that may still claim the flow.
 
-        Guards against a reset of a living flow whose owner was cut off from this
-        balancer and is not any more: it has not spoken since, but it answers.
+        Guards against a reset of an open flow whose owner was partitioned from this
+        balancer until now: it has sent nothing since, but it replies to a query.
 
         Args:
             fleet: The agents.
             now: Clock reading, seconds.
 
         Returns:
-            Those that were asked, have not said no and are not silent; silent ones
-            too for a moment after the question.
+            Agents that were queried, have not denied the flow and are responsive;
+            unresponsive ones are included during the reply window after the query.
         """
-        has_had_a_moment = now >= self.moment_ends_at
-        waited_for = []
+        is_window_over = now >= self.reply_window_ends_at
+        awaited = []
         for member_id in sorted(self.pending):
             peer = fleet.peers_by_id.get(member_id)
-            if peer is None or (has_had_a_moment and peer.is_silent(now=now)):
+            if peer is None or (is_window_over and peer.is_silent(now=now)):
                 self.pending.discard(member_id)
                 if peer is not None and peer.held_none:
                     self.denied.add(member_id)
             else:
-                waited_for.append(peer)
-        return waited_for
+                awaited.append(peer)
+        return awaited
 
-    def ask_again(self, peers: Sequence[Peer]) -> None:
-        """Takes note that agents are asked once more, without a packet.
+    def mark_requeried(self, peers: Sequence[Peer]) -> None:
+        """Records that agents are queried again, without packets.
 
         Args:
-            peers: Agents that have not answered.
+            peers: Agents that have not replied.
         """
-        self.questioned |= {peer.member.member_id for peer in peers}
+        self.queried_without_packets |= {peer.member.member_id for peer in peers}
 
 
-def _opened(search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
-    peers = [fleet.peers_by_id.get(member_id) for member_id in search.first]
+def _attempted_agents(lookup: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
+    peers = [fleet.peers_by_id.get(member_id) for member_id in lookup.preferred_ids]
     return [peer for peer in peers if peer is not None]
 
 
-def _agents(search: OwnerLookup, fleet: Fleet) -> list[Peer]:
-    return [agent for name in search.service_ids for agent in fleet.agents_of(name)]
+def _agents_of_services(lookup: OwnerLookup, fleet: Fleet) -> list[Peer]:
+    return [
+        agent
+        for service_id in lookup.service_ids
+        for agent in fleet.agents_of(service_id)
+    ]
 
 
-def _near_home(search: OwnerLookup, fleet: Fleet, domain: str) -> list[Peer]:
-    named: list[Peer] = []
-    for name in search.service_ids:
-        near = [a for a in fleet.agents_of(name) if a.member.failure_domain == domain]
-        named += home_agents(near, search.flow)
-    return named
+def _local_home_agents(lookup: OwnerLookup, fleet: Fleet, domain: str) -> list[Peer]:
+    chosen: list[Peer] = []
+    for service_id in lookup.service_ids:
+        local = [
+            a for a in fleet.agents_of(service_id) if a.member.failure_domain == domain
+        ]
+        chosen += home_agents(local, lookup.flow)
+    return chosen
 
 
-def _far_home(search: OwnerLookup, fleet: Fleet, domain: str) -> list[Peer]:
-    near = [a for a in _agents(search, fleet) if a.member.failure_domain == domain]
-    named: list[Peer] = near
-    for name in search.service_ids:
-        far = [a for a in fleet.agents_of(name) if a.member.failure_domain != domain]
-        named += home_agents(far, search.flow)
-    return named
+def _local_and_remote_home_agents(
+    lookup: OwnerLookup, fleet: Fleet, domain: str
+) -> list[Peer]:
+    local = [
+        a
+        for a in _agents_of_services(lookup, fleet)
+        if a.member.failure_domain == domain
+    ]
+    chosen: list[Peer] = local
+    for service_id in lookup.service_ids:
+        remote = [
+            a for a in fleet.agents_of(service_id) if a.member.failure_domain != domain
+        ]
+        chosen += home_agents(remote, lookup.flow)
+    return chosen
 
 
-def _service(search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
-    return _agents(search, fleet)
+def _service_agents(lookup: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
+    return _agents_of_services(lookup, fleet)
 
 
-def _everybody(_search: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
-    # A configuration may have given the route to another service since.
+def _all_agents(_lookup: OwnerLookup, fleet: Fleet, _: str) -> list[Peer]:
+    # A newer configuration may have moved the route to another service.
     return fleet.agents()
 
 
-_WAVES = (_opened, _near_home, _far_home, _service, _everybody)
-# The first of them, which nearly always meet the owner, get the packets at once.
-_LIKELY_WAVES = 2
+_BATCHES = (
+    _attempted_agents,
+    _local_home_agents,
+    _local_and_remote_home_agents,
+    _service_agents,
+    _all_agents,
+)
+# The first batches, which nearly always include the owner, receive the packets at once.
+_PACKET_BATCH_COUNT = 2
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -1,8 +1,8 @@
-"""Writes and reads the datagrams between balancers and agents.
+"""Encodes and decodes the datagrams between balancers and agents.
 
-Packets, verdicts and load go in a fixed binary layout, since there is one for each
-packet or each new flow; what members say of themselves goes as JSON. An unknown or
-broken datagram is dropped by the receiver.
+Packets, verdicts and load have a fixed binary layout, since there is one for each
+packet or each new flow; the status of a member is JSON. The receiver drops an unknown
+or malformed datagram.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
     from siskinshift.connections.peer_messages import PeerMessage
 
 
-# Flows named in one datagram: 1,200 bytes, as much as a caller's packet.
-OWNED_FLOWS_MAXIMUM = 90
-# Hosts named in one datagram.
+# Most flows in one datagram: 1,200 bytes, as much as a caller's packet.
+MAX_OWNED_FLOWS = 90
+# Most hosts in one datagram.
 MAX_KNOWN_HOSTS = 280
 
 
@@ -56,7 +56,7 @@
     STATUS = 3
     KNOWN_HOSTS = 4
     ALIVE = 5
-    QUESTION = 6
+    OWNER_QUERY = 6
     OWNED = 7
     EVACUATIONS = 8
     WARM_UP_RATE = 9
@@ -65,25 +65,25 @@
 # kind, purpose, service tag, urgency, objective and deadline in milliseconds
 _FORWARD_HEADER = struct.Struct("!BBIBHH")
 _MILLISECONDS = 1000
-_URGENCY_MAXIMUM = 0xFF
-# flows, running, whether they are certain
+_MAX_URGENCY = 0xFF
+# flows, running, whether the load is certain
 _LOAD = struct.Struct("!HH?")
 # kind, incarnation, record's version, configuration's version, milliseconds until the
-# next word; the load follows
+# next heartbeat; the load follows
 _ALIVE = struct.Struct("!BQIIH")
 # kind, verdict, flow; the load and the packet follow
 _VERDICT = struct.Struct(f"!BB{FLOW_SIZE}s")
-_QUESTION = struct.Struct(f"!B{FLOW_SIZE}sI")
-# kind, length of the agent's name; the name and the flows follow
+_OWNER_QUERY = struct.Struct(f"!B{FLOW_SIZE}sI")
+# kind, length of the agent's member id; the member id and the flows follow
 _OWNED = struct.Struct("!BB")
-# kind, whether the sender knows all, how many it knows; the hosts follow
+# kind, whether the sender's list is complete, its length; the hosts follow
 _KNOWN_HOSTS = struct.Struct("!B?H")
 # kind, new flows a second
 _WARM_UP_RATE = struct.Struct("!Bd")
-# No upstream takes more new flows a second.
+# Upper bound of new flows a second; no upstream accepts more.
 MAX_WARM_UP_RATE = 1e6
 _HOST_SIZE = 4
-_COUNT_MAXIMUM = 0xFFFF
+_MAX_COUNT = 0xFFFF
 _PURPOSES = tuple(Purpose)
 _VERDICTS = tuple(Verdict)
 
@@ -91,13 +91,13 @@
 def encode_forward(
     purpose: Purpose, service_tag: int, datagram: bytes, terms: Terms = NO_TERMS
 ) -> bytes:
-    """Writes a packet for an agent.
+    """Encodes a packet for an agent.
 
     Args:
-        purpose: What is asked of the agent.
-        service_tag: Hash of the service that is meant.
+        purpose: What the agent is requested to do with the packet.
+        service_tag: Hash of the target service.
         datagram: The packet.
-        terms: What callers on the flow's route want.
+        terms: Request parameters of the flow's route.
 
     Returns:
         The message.
@@ -106,27 +106,27 @@
         _Kind.FORWARD,
         purpose,
         service_tag,
-        min(terms.urgency, _URGENCY_MAXIMUM),
-        min(round(terms.objective * _MILLISECONDS), _COUNT_MAXIMUM),
-        min(round(terms.deadline * _MILLISECONDS), _COUNT_MAXIMUM),
+        min(terms.urgency, _MAX_URGENCY),
+        min(round(terms.objective * _MILLISECONDS), _MAX_COUNT),
+        min(round(terms.deadline * _MILLISECONDS), _MAX_COUNT),
     )
     return header + datagram
 
 
-def encode_question(question: OwnerQuery) -> bytes:
-    """Writes a balancer's question for a flow's owner.
+def encode_owner_query(query: OwnerQuery) -> bytes:
+    """Encodes a balancer's query for a flow's owner.
 
     Args:
-        question: The question.
+        query: The query.
 
     Returns:
         The message.
     """
-    return _QUESTION.pack(_Kind.QUESTION, question.flow, question.acknowledged)
+    return _OWNER_QUERY.pack(_Kind.OWNER_QUERY, query.flow, query.acknowledged)
 
 
 def encode_owned(owned: Owned) -> bytes:
-    """Writes whose flows they are.
+    """Encodes an announcement of an agent's flows.
 
     Args:
         owned: The agent and its flows; a hundred of them fit into a packet.
@@ -134,31 +134,31 @@
     Returns:
         The message.
     """
-    name = owned.member_id.encode()
-    return _OWNED.pack(_Kind.OWNED, len(name)) + name + b"".join(owned.flows)
+    member_id = owned.member_id.encode()
+    return _OWNED.pack(_Kind.OWNED, len(member_id)) + member_id + b"".join(owned.flows)
 
 
 def encode_all_owned(member_id: str, flows: Sequence[bytes]) -> list[bytes]:
-    """Writes whose flows they are in as many messages as it takes.
+    """Encodes the announcement of an agent's flows in as many messages as needed.
 
     Args:
         member_id: The agent.
-        flows: All of its flows that are to be named.
+        flows: All of its flows to announce.
 
     Returns:
         The messages.
     """
     return [
-        encode_owned(Owned(member_id, tuple(flows[i : i + OWNED_FLOWS_MAXIMUM])))
-        for i in range(0, len(flows), OWNED_FLOWS_MAXIMUM)
+        encode_owned(Owned(member_id, tuple(flows[i : i + MAX_OWNED_FLOWS])))
+        for i in range(0, len(flows), MAX_OWNED_FLOWS)
     ]
 
 
 def encode_verdict(verdict: FlowVerdict) -> bytes:
-    """Writes an agent's word about a flow.
+    """Encodes an agent's verdict about a flow.
 
     Args:
-        verdict: The word.
+        verdict: The verdict.
 
     Returns:
         The message.
@@ -168,10 +168,10 @@
 
 
 def encode_status(status: Status) -> bytes:
-    """Writes what a member says of itself.
+    """Encodes the status of a member.
 
     Args:
-        status: Its words.
+        status: The status.
 
     Returns:
         The message.
@@ -189,31 +189,31 @@
 
 
 def encode_alive(alive: Alive) -> bytes:
-    """Writes that a member lives.
+    """Encodes the short heartbeat of a member.
 
     Args:
-        alive: Its words.
+        alive: The heartbeat.
 
     Returns:
         The message.
     """
-    words = _ALIVE.pack(
+    header = _ALIVE.pack(
         _Kind.ALIVE,
         alive.incarnation,
         alive.version,
         alive.configuration_version,
-        min(round(alive.next_within * _MILLISECONDS), _COUNT_MAXIMUM),
+        min(round(alive.next_within * _MILLISECONDS), _MAX_COUNT),
     )
-    return words + _pack_load(alive.load)
+    return header + _pack_load(alive.load)
 
 
 def _pack_load(load: Load) -> bytes:
-    flows = min(load.flows, _COUNT_MAXIMUM)
-    return _LOAD.pack(flows, min(load.running, _COUNT_MAXIMUM), load.is_certain)
+    flows = min(load.flows, _MAX_COUNT)
+    return _LOAD.pack(flows, min(load.running, _MAX_COUNT), load.is_certain)
 
 
 def encode_known_hosts(known: KnownHosts) -> bytes:
-    """Writes hosts for a peer.
+    """Encodes known hosts for a peer.
 
     Args:
         known: The hosts; no more than fit into a datagram.
@@ -221,13 +221,13 @@
     Returns:
         The message.
     """
-    count = min(known.count, _COUNT_MAXIMUM)
+    count = min(known.count, _MAX_COUNT)
     header = _KNOWN_HOSTS.pack(_Kind.KNOWN_HOSTS, known.is_whole, count)
     return header + b"".join(socket.inet_aton(host) for host in known.hosts)
 
 
 def encode_evacuations_message(evacuations: Evacuations) -> bytes:
-    """Writes the evacuated failure domains.
+    """Encodes the evacuated failure domains.
 
     Args:
         evacuations: The domains and their revision.
@@ -239,7 +239,7 @@
 
 
 def encode_warm_up_rate(warm_up: WarmUpRate) -> bytes:
-    """Writes how much a cold upstream bears.
+    """Encodes the rate of new flows that a cold upstream can accept.
 
     Args:
         warm_up: The rate.
@@ -251,13 +251,13 @@
 
 
 def decode_peer_message(datagram: bytes) -> PeerMessage | None:
-    """Takes a message apart.
+    """Decodes a message.
 
     Args:
-        datagram: What came from a peer.
+        datagram: A datagram from a peer.
 
     Returns:
-        The message, or None for one that can't be read.
+        The message, or None if it is malformed.
     """
     if not datagram:
         return None
@@ -268,8 +268,8 @@
             return _decode_verdict(datagram)
         if datagram[0] == _Kind.OWNED:
             return _decode_owned(datagram)
-        if datagram[0] == _Kind.QUESTION:
-            _, flow, acknowledged = _QUESTION.unpack(datagram)
+        if datagram[0] == _Kind.OWNER_QUERY:
+            _, flow, acknowledged = _OWNER_QUERY.unpack(datagram)
             return OwnerQuery(flow, acknowledged)
         if datagram[0] == _Kind.STATUS:
             return _decode_status(datagram)
@@ -308,12 +308,12 @@
 
 def _decode_owned(datagram: bytes) -> Owned:
     _, length = _OWNED.unpack_from(datagram)
-    begin = _OWNED.size + length
-    flows = datagram[begin:]
+    flows_offset = _OWNED.size + length
+    flows = datagram[flows_offset:]
     if len(flows) % FLOW_SIZE:
         raise ValueError(len(flows))
     return Owned(
-        datagram[_OWNED.size : begin].decode(),
+        datagram[_OWNED.size : flows_offset].decode(),
         tuple(flows[i : i + FLOW_SIZE] for i in range(0, len(flows), FLOW_SIZE)),
     )
 
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -1,4 +1,4 @@
-"""What balancers and agents say to each other in datagrams."""
+"""Messages that balancers and agents exchange in datagrams."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Purpose(IntEnum):
-    """What a balancer wants of an agent with a packet.
+    """What a balancer requests of an agent with a packet.
 
-    OPEN: begin a flow. OWNED: the agent owns the flow. SEARCH: deliver the packet if
-    the flow is the agent's, and say so either way.
+    OPEN: open a flow. OWNED: the agent owns the flow. SEARCH: deliver the packet if the
+    agent owns the flow, and reply with a verdict in either case.
     """
 
     OPEN = 1
@@ -28,12 +28,12 @@
 
 
 class Verdict(IntEnum):
-    """What an agent says of a flow.
+    """An agent's reply about a flow.
 
-    ACCEPTED: its upstream answered the opening packet. MINE: its upstream holds the
-    flow. FULL, UNAVAILABLE, WRONG_SERVICE: the opening packet was not taken.
-    NOT_MINE: its upstream does not hold the flow, for certain. UNSURE: only the
-    upstream knows; a packet of the flow would show.
+    ACCEPTED: its upstream replied to the opening packet. MINE: its upstream holds the
+    flow. FULL, UNAVAILABLE, WRONG_SERVICE: the opening packet was refused. NOT_MINE: it
+    is certain that its upstream does not hold the flow. UNSURE: the agent has no record
+    of the flow; the upstream's response to a packet of the flow would decide.
     """
 
     ACCEPTED = 1
@@ -47,14 +47,14 @@
 
 @frozen
 class Forward:
-    """A caller's packet on its way to an agent.
+    """A caller's packet that is forwarded to an agent.
 
     Attributes:
-        purpose: What is asked of the agent.
-        service_tag: Hash of the service that is meant, so that an address that went
-            to another service does not get it.
+        purpose: What the agent is requested to do with the packet.
+        service_tag: Hash of the target service, so that an agent that has taken over
+            the address for another service does not accept the packet.
         datagram: The packet.
-        terms: What callers on the flow's route want.
+        terms: Request parameters of the flow's route.
     """
 
     purpose: Purpose
@@ -65,11 +65,11 @@
 
 @frozen
 class OwnerQuery:
-    """A balancer asks an agent whether its upstream holds a flow.
+    """A balancer's query whether an agent's upstream holds a flow.
 
     Attributes:
         flow: The flow.
-        acknowledged: What its caller acknowledged last; it names the upstream.
+        acknowledged: What its caller acknowledged last; it identifies the upstream.
     """
 
     flow: bytes
@@ -78,14 +78,14 @@
 
 @frozen
 class Owned:
-    """Somebody names an agent's flows to a balancer that does not know them.
+    """Announces an agent's flows to a balancer that has no record of them.
 
-    A balancer that leaves does so for those that follow it, an agent for a balancer
-    that has restarted.
+    A leaving balancer sends it to its successors, an agent to a balancer that has
+    restarted.
 
     Attributes:
         member_id: The agent.
-        flows: Flows that it owns.
+        flows: Flows that the agent owns.
     """
 
     member_id: str
@@ -94,13 +94,13 @@
 
 @frozen
 class Load:
-    """What an agent sees of its upstream's load.
+    """The load of an upstream as reported by its agent.
 
     Attributes:
         flows: Open flows.
-        running: Flows on which the caller waits for an answer.
-        is_certain: Whether it knows all flows that the upstream may hold; not after a
-            restart beside an upstream that lives on.
+        running: Flows on which the caller waits for a response.
+        is_certain: Whether the agent has a record of all flows that the upstream may
+            hold; false after an agent restart that the upstream survived.
     """
 
     flows: int = 0
@@ -110,13 +110,13 @@
 
 @frozen
 class FlowVerdict:
-    """An agent's word about a flow.
+    """An agent's verdict about a flow, with its load.
 
     Attributes:
-        verdict: The word.
+        verdict: The verdict.
         flow: The flow.
-        load: The agent's load as it answered.
-        packet: The packet that the agent could not use, for another agent; may be
+        load: The agent's load at the time of the reply.
+        packet: The packet that the agent could not deliver, for another agent; may be
             empty.
     """
 
@@ -128,14 +128,14 @@
 
 @frozen
 class Status:
-    """What a member says of itself.
+    """The full status of a member.
 
     Attributes:
         member: Its record.
-        load: Its load; that of an agent.
-        configuration_version: Newest configuration it holds; 0 for none.
-        wants_status: Whether the receiver is asked for its own words.
-        wants_members: Whether it is asked for the hosts of those that it knows as well.
+        load: Its load, if it is an agent.
+        configuration_version: Version of its newest configuration; 0 for none.
+        wants_status: Whether the receiver is requested to reply with its own status.
+        wants_members: Whether it is requested to send the hosts of its known members.
     """
 
     member: Member
@@ -147,16 +147,16 @@
 
 @frozen
 class Alive:
-    """A member whose record has not changed says that it lives.
+    """A short heartbeat of a member whose record has not changed.
 
-    A fourteenth of a status in bytes.
+    It takes a fourteenth of the bytes of a status.
 
     Attributes:
         incarnation: Incarnation of the record that the receiver should have.
-        version: Its version.
+        version: Version of that record.
         load: The member's load.
-        configuration_version: Newest configuration it holds; 0 for none.
-        next_within: Seconds within which it speaks to the receiver again.
+        configuration_version: Version of its newest configuration; 0 for none.
+        next_within: Seconds within which the next heartbeat follows.
     """
 
     incarnation: int
@@ -168,12 +168,12 @@
 
 @frozen
 class KnownHosts:
-    """Hosts of members that a peer knows, or a part of them.
+    """Hosts of some or all members that are known to a peer.
 
     Attributes:
-        hosts: IP numbers.
-        count: How many it knows in all.
-        is_whole: Whether it knows all that there are.
+        hosts: IP addresses.
+        count: Number of all members known to the peer.
+        is_whole: Whether the peer's list of members is complete.
     """
 
     hosts: tuple[str, ...]
@@ -183,10 +183,10 @@
 
 @frozen
 class WarmUpRate:
-    """A balancer tells an agent how much its upstream bears while it is cold.
+    """The rate of new flows that an agent's upstream can accept while it is cold.
 
     Attributes:
-        rate: New flows a second, as operators declare it for the service.
+        rate: New flows a second, as declared by the operators for the service.
     """
 
     rate: float
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -1,15 +1,16 @@
-"""Choice of the agent for a new flow.
-
-Pattern: flows that last minutes beside flows of one request, upstreams of one to
-three slots, and reports of load that are tens to hundreds of milliseconds old. With
-the least loaded by report everybody sends to the same one until the next report
-(herding); with chance alone one upstream holds half as many flows again as the mean,
-and each of its callers waits for that in every request of the flow's life.
-
-Two agents are drawn and the less loaded one is taken; flows that this node sent there
-since the report count as well. Agents of the own failure domain come first, because
-bytes between domains cost and add a millisecond; another domain's agent is taken when
-it is better by more than a margin.
+"""Chooses the agent for a new flow by the power of two choices.
+
+Flows last from a single request to minutes, upstreams have one to three slots, and load
+reports are tens to hundreds of milliseconds old. If all balancers chose the agent with
+the least reported load, they would choose the same one until the next report (herding).
+With random choice alone the most loaded upstream holds half as many flows again as the
+mean, which delays every request of its flows.
+
+Two agents are drawn at random and the less loaded one is chosen; flows that this node
+placed there since the last report are added to the reported load. Agents of the same
+failure domain are preferred, because traffic between domains is charged and adds a
+millisecond; an agent of another domain is chosen if its cost is lower by more than a
+margin.
 """
 
 from __future__ import annotations
@@ -30,28 +31,28 @@
 
 
 # Agents compared for a new flow.
-CHOICES = 2
-# A flow whose caller waits right now counts as much as this many open flows: an open
-# flow of a person asks about once a second and runs for some tens of milliseconds.
+CANDIDATES_COMPARED = 2
+# A flow with a request in progress counts as this many open flows: an interactive flow
+# sends about one request a second, which runs for some tens of milliseconds.
 RUNNING_WEIGHT = 4.0
-# Flows by which a foreign agent must be better, for each slot.
-FOREIGN_MARGIN = 3.0
-# Opening packets in a row without an answer after which an agent comes last.
-DOUBTED_AFTER = 2
+# Flows for each slot by which an agent of another failure domain must be less loaded.
+REMOTE_MARGIN = 3.0
+# Unanswered opening packets in a row after which an agent is chosen last.
+SUSPECTED_AFTER_UNANSWERED = 2
 
 
 class AgentPlacement:
-    """Chooses agents by load as it is known now."""
+    """Chooses agents by their last reported load and the flows placed since."""
 
     def __init__(
         self, *, failure_domain: str, evacuations: EvacuationRegister, random: Random
     ) -> None:
-        """Prepares.
+        """Initializes the placement.
 
         Args:
             failure_domain: Failure domain of this node.
-            evacuations: Failure domains that get no new flows.
-            random: Source of the draws.
+            evacuations: Failure domains that receive no new flows.
+            random: Random source for the choice of candidates.
         """
         self._failure_domain = failure_domain
         self._evacuations = evacuations
@@ -62,71 +63,73 @@
         agents: list[Peer],
         flow: bytes,
         *,
-        tried: Collection[str],
+        attempted: Collection[str],
         now: float,
     ) -> Peer | None:
         """Chooses an agent for a new flow.
 
         Args:
             agents: Agents of the service.
-            flow: The flow; its hash names the agents that are compared.
-            tried: Member ids that were asked for this flow already.
+            flow: The flow; its hash selects the agents that are compared.
+            attempted: Member ids to which this flow was already offered.
             now: Clock reading, seconds.
 
         Returns:
-            The agent, or None when none may be asked.
+            The agent, or None if no agent is eligible.
         """
         allowed = [agent for agent in agents if not self.is_evacuated(agent)]
         ready = [a for a in allowed if a.member.state is MemberState.READY]
-        # A full link loses all heartbeats alike. That nobody is heard is hardly the
-        # agents' fault; refused callers would go without free upstreams.
-        heard = [a for a in ready if not a.is_silent(now=now)] or ready
-        open_agents = [a for a in heard if a.member.member_id not in tried]
-        if not open_agents:
+        # A saturated link drops the heartbeats of all agents. If none is responsive,
+        # they are probably healthy, and refusing callers would leave upstreams idle.
+        responsive = [a for a in ready if not a.is_silent(now=now)] or ready
+        eligible = [a for a in responsive if a.member.member_id not in attempted]
+        if not eligible:
             return None
-        sure = [agent for agent in open_agents if agent.unanswered < DOUBTED_AFTER]
-        candidates = sure or open_agents
-        near = [a for a in candidates if self._is_near(a)]
-        far = [a for a in candidates if not self._is_near(a)]
-        near = home_agents(near, flow)
-        far = home_agents(far, flow)
-        best_near = self._best(near)
-        best_far = self._best(far)
-        if best_near is None or best_far is None:
-            return best_near or best_far
-        if cost(best_far) + FOREIGN_MARGIN < cost(best_near):
-            return best_far
-        return best_near
+        trusted = [
+            agent for agent in eligible if agent.unanswered < SUSPECTED_AFTER_UNANSWERED
+        ]
+        candidates = trusted or eligible
+        local = [a for a in candidates if self._is_local(a)]
+        remote = [a for a in candidates if not self._is_local(a)]
+        local = home_agents(local, flow)
+        remote = home_agents(remote, flow)
+        best_local = self._best(local)
+        best_remote = self._best(remote)
+        if best_local is None or best_remote is None:
+            return best_local or best_remote
+        if cost(best_remote) + REMOTE_MARGIN < cost(best_local):
+            return best_remote
+        return best_local
 
     def is_evacuated(self, agent: Peer) -> bool:
-        """Says whether an agent may get no new flow because of its failure domain.
+        """Returns whether an agent's failure domain is evacuated: no new flows.
 
         Args:
             agent: The agent.
         """
         return self._evacuations.covers(agent.member.failure_domain)
 
-    def _is_near(self, agent: Peer) -> bool:
+    def _is_local(self, agent: Peer) -> bool:
         return agent.member.failure_domain == self._failure_domain
 
     def _best(self, agents: list[Peer]) -> Peer | None:
         if not agents:
             return None
-        if len(agents) > CHOICES:
-            agents = self._random.sample(agents, CHOICES)
+        if len(agents) > CANDIDATES_COMPARED:
+            agents = self._random.sample(agents, CANDIDATES_COMPARED)
         return min(agents, key=cost)
 
 
 def cost(agent: Peer) -> float:
-    """Estimates what a flow would meet at an agent.
+    """Estimates the load of an agent after one more flow.
 
     Args:
         agent: The agent.
 
     Returns:
-        Load for each slot at full strength; a cold upstream's counts for more.
+        Load for each slot at full weight; it is scaled up for a cold upstream.
     """
     load = agent.load
     work = load.flows + agent.placed + RUNNING_WEIGHT * load.running
-    strength = agent.member.slots * max(1, agent.member.weight) / FULL_WEIGHT
-    return (work + 1) / strength
+    capacity = agent.member.slots * max(1, agent.member.weight) / FULL_WEIGHT
+    return (work + 1) / capacity
--- a/src/siskinshift/connections/recent_packets.py
+++ b/src/siskinshift/connections/recent_packets.py
@@ -1,10 +1,10 @@
-"""Packets that a balancer sent to agents a moment ago, for an agent that restarts.
+"""Keeps packets that a balancer sent recently, to resend them after an agent restart.
 
-Pattern: an agent restarts beside a living upstream, planned or killed, and is away for
-half a second to a second. Callers' packets of that time are lost, and callers send
-them again after 0.2, 0.4, 0.8 s: a request that came early in the gap waits for the
-next copy although the agent is back. Sent again at once they cost the caller the gap
-and no more; an upstream that has them already takes them as copies.
+An agent that restarts while its upstream runs on is unavailable for half a second to a
+second. Packets sent to it are lost, and callers retransmit after 0.2, 0.4 and 0.8 s, so
+a request from the start of the gap would wait for the next retransmission although the
+agent is available again. Resending the packets at once limits the delay to the gap; an
+upstream that has received them already treats them as duplicates.
 """
 
 from __future__ import annotations
@@ -14,55 +14,55 @@
 from attrs import frozen
 
 
-# An agent is back within a second; callers have sent older packets again by then.
-KEEP_SECONDS = 1.5
-# 1.2 KB each, so 0.6 MB at most; a balancer of the largest fleet passes on about 500
+# An agent restarts within a second; callers have retransmitted older packets by then.
+MAX_PACKET_AGE_SECONDS = 1.5
+# 1.2 KB each, so 0.6 MB at most; a balancer of the largest fleet forwards about 500
 # packets with data in that time.
-PACKETS_MAXIMUM = 512
+MAX_PACKETS = 512
 
 
 @frozen
-class _Sent:
+class _SentPacket:
     sent_at: float
     member_id: str
     datagram: bytes
 
 
 class RecentPackets:
-    """A bounded list of the last packets with data."""
+    """A bounded list of the most recent packets with data."""
 
     def __init__(self) -> None:
-        self._sent: deque[_Sent] = deque(maxlen=PACKETS_MAXIMUM)
+        self._packets: deque[_SentPacket] = deque(maxlen=MAX_PACKETS)
 
     def add(self, member_id: str, datagram: bytes, *, now: float) -> None:
-        """Remembers a packet.
+        """Adds a packet.
 
         Args:
-            member_id: The agent it was sent to.
+            member_id: The agent that it was sent to.
             datagram: The packet.
             now: Clock reading, seconds.
         """
-        self._sent.append(_Sent(now, member_id, datagram))
+        self._packets.append(_SentPacket(now, member_id, datagram))
 
     def take(self, member_id: str, *, since: float, now: float) -> list[bytes]:
-        """Gives what an agent may have missed, once.
+        """Removes an agent's packets and returns those that it may have missed.
 
         Args:
             member_id: The agent.
-            since: When it was last heard, seconds.
+            since: When the agent was last seen, seconds.
             now: Clock reading, seconds.
 
         Returns:
             The packets, oldest first.
         """
-        after = max(since, now - KEEP_SECONDS)
+        after = max(since, now - MAX_PACKET_AGE_SECONDS)
         missed = [
-            sent.datagram
-            for sent in self._sent
-            if sent.member_id == member_id and sent.sent_at >= after
+            packet.datagram
+            for packet in self._packets
+            if packet.member_id == member_id and packet.sent_at >= after
         ]
-        self._sent = deque(
-            (sent for sent in self._sent if sent.member_id != member_id),
-            maxlen=PACKETS_MAXIMUM,
+        self._packets = deque(
+            (packet for packet in self._packets if packet.member_id != member_id),
+            maxlen=MAX_PACKETS,
         )
         return missed
--- a/src/siskinshift/connections/routes.py
+++ b/src/siskinshift/connections/routes.py
@@ -1,4 +1,4 @@
-"""Where the operators send new flows: service addresses and what stands behind them."""
+"""Routing table of the operators' configuration: service addresses and targets."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @frozen
 class Target:
-    """A service that gets a part of a route's new flows.
+    """A service that receives a fraction of a route's new flows.
 
     Attributes:
         service_id: The service.
-        weight: Its part, relative to the other targets of the route.
+        weight: Its weight relative to the other targets of the route.
     """
 
     service_id: str
@@ -30,14 +30,14 @@
 
 @frozen
 class ConnectionRoute:
-    """A service address and what operators want of flows to it.
+    """A service address and the settings of its flows.
 
     Attributes:
         name: Name of the route.
         address: Address and port, six bytes packed.
-        targets: Services that take new flows, with a total weight above 0.
-        terms: What callers on the route want.
-        is_single_request: Whether a flow carries one request and ends.
+        targets: Services that receive new flows, with a total weight above 0.
+        terms: Request parameters of the route's flows.
+        is_single_request: Whether a flow ends after one request.
     """
 
     name: str
@@ -52,7 +52,7 @@
         return tuple(target.service_id for target in self.targets)
 
     def service_for(self, flow: bytes) -> str:
-        """Draws the service of a new flow, the same one on every node.
+        """Selects the service of a new flow by hash, the same one on every node.
 
         Args:
             flow: The flow.
@@ -63,11 +63,11 @@
         if len(self.targets) == 1:
             return self.targets[0].service_id
         total = sum(target.weight for target in self.targets)
-        point = xxhash.xxh3_64_intdigest(flow) % total
+        position = xxhash.xxh3_64_intdigest(flow) % total
         for target in self.targets:
-            if point < target.weight:
+            if position < target.weight:
                 return target.service_id
-            point -= target.weight
+            position -= target.weight
         return self.targets[-1].service_id
 
 
@@ -76,12 +76,12 @@
     """One version of the operators' configuration; immutable.
 
     Attributes:
-        version: Its version; 0 before the first was read.
+        version: Version of the configuration; 0 before the first was read.
         routes_by_address: Routes by packed address and port.
-        idle_timeout: Seconds of silence after which a flow may be forgotten.
+        idle_timeout: Seconds without packets after which a flow may be removed.
         health_paths_by_service: Path of each service's health check.
         warm_up_rates_by_service: New flows a second that a cold upstream of the
-            service bears; services that declare none are not listed.
+            service can accept; services that declare none are not listed.
     """
 
     version: int = 0
@@ -96,7 +96,7 @@
 
 
 def service_tag(service_id: str) -> int:
-    """Hashes a service's id for the messages between nodes.
+    """Hashes a service's id for the messages between peers.
 
     Args:
         service_id: The service.
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -1,4 +1,4 @@
-"""A packet of a connection as the decisions see it."""
+"""A parsed packet of a connection, and helpers for flow keys and sequence numbers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             the service's address, the caller's address, the service's port.
         flags: SYN, ACK, FIN, RESET and BOUNCED.
         seq: Sequence number of the sender.
-        ack: What the sender has of the other end; in a SYN, the number of its copy.
+        ack: Acknowledged sequence number; in a SYN, the number of retransmissions.
         length: Bytes of data.
         datagram: The packet, unchanged.
     """
@@ -40,7 +40,7 @@
 
     @property
     def is_bare_ack(self) -> bool:
-        """Whether it is an acknowledgement alone, which may be repeated at any time."""
+        """Whether it is a pure acknowledgement, which may be repeated at any time."""
         return self.flags == ACK and not self.length
 
     @property
@@ -51,19 +51,19 @@
 
 
 def caller_host(flow: bytes) -> str:
-    """Reads the caller's address.
+    """Returns the caller's address.
 
     Args:
         flow: The flow.
 
     Returns:
-        Its IP number as text.
+        The IP address as text.
     """
     return socket.inet_ntoa(flow[6:10])
 
 
 def service_address(flow: bytes) -> bytes:
-    """Reads the service's address and port, packed.
+    """Returns the service's address and port, packed.
 
     Args:
         flow: The flow.
@@ -75,10 +75,10 @@
 
 
 def pack_service_address(host: str, port: int) -> bytes:
-    """Packs an address as `service_address` gives it.
+    """Packs an address in the format of `service_address`.
 
     Args:
-        host: IP number, text.
+        host: IP address as text.
         port: Port.
 
     Returns:
@@ -88,7 +88,7 @@
 
 
 def format_flow(flow: bytes) -> str:
-    """Writes a flow for logs.
+    """Formats a flow for logs.
 
     Args:
         flow: The flow.
@@ -103,7 +103,7 @@
 
 
 def is_between(number: int, lowest: int, highest: int) -> bool:
-    """Says whether a number lies in a range that may wrap around.
+    """Returns whether a number lies in a range that may wrap around.
 
     Args:
         number: A sequence number.
@@ -111,19 +111,19 @@
         highest: Last number of the range.
 
     Returns:
-        Whether it does.
+        Whether the number is in the range, bounds included.
     """
     return (number - lowest) % SEQUENCE_SPACE <= (highest - lowest) % SEQUENCE_SPACE
 
 
 def is_after(number: int, reference: int) -> bool:
-    """Says whether a number follows another one, or equals it.
+    """Returns whether a sequence number follows another one, or equals it.
 
     Args:
         number: A sequence number.
-        reference: Another of the same end.
+        reference: Another sequence number of the same sender.
 
     Returns:
-        Whether it lies in the half of all numbers that begins with the reference.
+        Whether it lies in the half of the sequence space that starts at the reference.
     """
     return (number - reference) % SEQUENCE_SPACE < SEQUENCE_SPACE // 2
