--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -255,7 +255,7 @@
     return chosen
 
 
-def _local_and_remote_home_agents(
+def _local_agents_and_remote_home(
     lookup: OwnerLookup, fleet: Fleet, domain: str
 ) -> list[Peer]:
     local = [
@@ -284,7 +284,7 @@
 _BATCHES = (
     _attempted_agents,
     _local_home_agents,
-    _local_and_remote_home_agents,
+    _local_agents_and_remote_home,
     _service_agents,
     _all_agents,
 )
