--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -211,14 +211,16 @@
         """Sends heartbeats to peers and handles expired timers of flows."""
         self.perform(self._flows.tick(now=now))
         if now >= self._balancer_schedule.next_due:
-            for heartbeats in self._balancer_schedule.due(
+            for heartbeat_round in self._balancer_schedule.due(
                 self.fleet.balancers(), now=now
             ):
-                self.send_heartbeats(heartbeats)
-                self.perform(self._dissemination.to_balancers(heartbeats.peers))
+                self.send_heartbeats(heartbeat_round)
+                self.perform(self._dissemination.to_balancers(heartbeat_round.peers))
         if now >= self._agent_schedule.next_due:
-            for heartbeats in self._agent_schedule.due(self.fleet.agents(), now=now):
-                self.send_heartbeats(heartbeats)
+            for heartbeat_round in self._agent_schedule.due(
+                self.fleet.agents(), now=now
+            ):
+                self.send_heartbeats(heartbeat_round)
         self._update_state()
         return min(
             self._flows.next_due(),
