--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -115,7 +115,7 @@
         return self._routes
 
     def configure(self, routes: RouteTable) -> bool:
-        """Applies a configuration unless it is older than the current one.
+        """Applies a configuration if it is newer than the current one.
 
         Args:
             routes: The configuration.
