--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -32,7 +32,7 @@
 from siskinshift.connections.segment import SEQUENCE_SPACE
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
-from siskinshift.connections.segment import flow_name
+from siskinshift.connections.segment import format_flow
 from siskinshift.connections.segment import is_after
 from siskinshift.connections.warm_up import WarmUpLimit
 
@@ -45,7 +45,7 @@
     from siskinshift.connections.owned_flow import OwnedFlow
     from siskinshift.connections.owned_flow import RestoredFlow
     from siskinshift.connections.peer_messages import Forward
-    from siskinshift.connections.peer_messages import Question
+    from siskinshift.connections.peer_messages import OwnerQuery
     from siskinshift.connections.request_queue import RequestParameters
     from siskinshift.connections.upstream_state import UpstreamState
     from siskinshift.observability.event_log import EventLog
@@ -140,7 +140,7 @@
         return actions
 
     def on_question(
-        self, question: Question, sender: tuple[str, int], *, now: float
+        self, question: OwnerQuery, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
         """Answers a query for the owner of a flow from the agent's own state.
 
@@ -318,7 +318,7 @@
         for request in self._queue.next_requests(now=now):
             self._log.decision(
                 "request started",
-                flow=flow_name(request.flow),
+                flow=format_flow(request.flow),
                 waited=round(now - request.arrived_at, 4),
             )
             self._log.metrics.observe("request_wait", now - request.arrived_at)
@@ -371,7 +371,7 @@
         if probe.is_overdue(now=now):
             unanswered = round(now - probe.started_at, 3)
             self._log.decision(
-                "flow doubted", flow=flow_name(segment.flow), silent=unanswered
+                "flow doubted", flow=format_flow(segment.flow), silent=unanswered
             )
             verdict = Verdict.UNSURE
             actions.append(
@@ -393,7 +393,7 @@
         self._foreign_flows.mark(segment.flow, now=now)
         self._log.decision(
             "foreign answer",
-            flow=flow_name(segment.flow),
+            flow=format_flow(segment.flow),
             flags=segment.flags,
             seq=segment.seq,
             caller_acknowledged=probe.acknowledged,
@@ -427,7 +427,7 @@
         acknowledged = flow.acknowledged
         self._flows.end(segment.flow, flow, now=now)
         self._log.decision(
-            "reset", flow=flow_name(segment.flow), reason="upstream lost the flow"
+            "reset", flow=format_flow(segment.flow), reason="upstream lost the flow"
         )
         return [ResetCaller(segment.flow, acknowledged)]
 
@@ -472,7 +472,7 @@
     def _refuse(self, verdict: Verdict, flow: bytes, sender: tuple[str, int]) -> ToPeer:
         self._log.decision(
             "refused",
-            flow=flow_name(flow),
+            flow=format_flow(flow),
             reason=verdict.name.lower(),
             evacuated=self.is_evacuated,
             upstream=self._upstream.upstream_id,
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -74,7 +74,7 @@
         Args:
             segment: The packet.
         """
-        follows = segment.follows
+        follows = segment.next_sequence
         if not segment.flags & SYN:
             self.is_confirmed = True
         if self.min_ack is None:
--- a/src/siskinshift/connections/ownership_probes.py
+++ b/src/siskinshift/connections/ownership_probes.py
@@ -49,7 +49,7 @@
         """
         lowest = (self.acknowledged - MAX_IN_FLIGHT_BYTES) % SEQUENCE_SPACE
         highest = (self.acknowledged + MAX_IN_FLIGHT_BYTES) % SEQUENCE_SPACE
-        return is_between(segment.follows, lowest, highest)
+        return is_between(segment.next_sequence, lowest, highest)
 
     def is_overdue(self, *, now: float) -> bool:
         """Returns whether the upstream failed to respond or to return a packet in time.
