--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -18,7 +18,7 @@
 from siskinshift.control.exceptions import PeerUnreachableError
 from siskinshift.core.requests import Request
 from siskinshift.core.requests import RunResult
-from siskinshift.load.usage import RECIPIENTS
+from siskinshift.load.usage import USAGE_RECIPIENT_COUNT
 from siskinshift.messages.core import Endpoint
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import OutcomeKind
@@ -221,7 +221,7 @@
             sums: The message.
         """
         with self._lock:
-            count = min(RECIPIENTS, len(self._ready_peer_ids))
+            count = min(USAGE_RECIPIENT_COUNT, len(self._ready_peer_ids))
             peer_ids = self._random.sample(self._ready_peer_ids, count)
             peers = [self._endpoints_by_peer[peer_id] for peer_id in peer_ids]
         for peer in peers:
--- a/src/siskinshift/load/usage.py
+++ b/src/siskinshift/load/usage.py
@@ -38,7 +38,7 @@
 USED_MINIMUM = 0.001
 # Bounds a message to some 10 KB, whatever the size of the service.
 SUMS_IN_A_MESSAGE = 24
-RECIPIENTS = 2
+USAGE_RECIPIENT_COUNT = 2
 
 
 class UsageMeter:
