--- a/src/siskinshift/load/retry_budget.py
+++ b/src/siskinshift/load/retry_budget.py
@@ -20,7 +20,7 @@
     from random import Random
 
 
-SAVED_RETRIES_MAXIMUM = 10.0
+MAX_SAVED_RETRIES = 10.0
 # One retry is there at the start, or the first failure could never be repeated.
 SAVED_RETRIES_AT_START = 1.0
 BACK_OFF_FIRST_SECONDS = 0.05
@@ -41,7 +41,7 @@
 
     def succeeded(self) -> None:
         """Takes a success."""
-        self._saved = min(SAVED_RETRIES_MAXIMUM, self._saved + self._part)
+        self._saved = min(MAX_SAVED_RETRIES, self._saved + self._part)
 
     def take(self) -> bool:
         """Asks for one retry.
