--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -414,7 +414,7 @@
         """Tries another agent after silence, as far as accepted flows pay for it."""
         if len(record.attempts) >= ATTEMPTS_MAXIMUM:
             return []
-        if not self._retry_budget.take():
+        if not self._retry_budget.try_spend():
             self._log.decision(
                 "not tried again", flow=flow_name(record.flow), reason="retry budget"
             )
--- a/src/siskinshift/load/retries.py
+++ b/src/siskinshift/load/retries.py
@@ -75,7 +75,7 @@
             return False
         if result is RunResult.NOT_OFFERED:
             return work.attempts < UNREACHED_TRIES
-        return work.request.repeatable and self._state.budget.take()
+        return work.request.repeatable and self._state.budget.try_spend()
 
     def requeue(self, work: Work) -> list[GateAction]:
         """Queues a request again.
--- a/src/siskinshift/load/retry_budget.py
+++ b/src/siskinshift/load/retry_budget.py
@@ -43,7 +43,7 @@
         """Takes a success."""
         self._saved = min(MAX_SAVED_RETRIES, self._saved + self._part)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Asks for one retry.
 
         Returns:
