--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -465,7 +465,7 @@
             verdict=verdict.name.lower(),
         )
         if verdict is Verdict.ACCEPTED:
-            self._retry_budget.succeeded()
+            self._retry_budget.record_success()
             self._log.metrics.observe("flow_opening", now - record.opened_at)
             return []
         if any(a.verdict in (None, Verdict.ACCEPTED) for a in record.attempts):
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -199,7 +199,7 @@
         if work.state is WorkState.RUNNING:
             self._state.give_back(work, known, now=now)
         if succeeded and known is RunResult.ANSWERED:
-            self._state.budget.succeeded()
+            self._state.budget.record_success()
         answers = result is not None
         return [
             *self._retries.ended(work, known, answers, now=now),
--- a/src/siskinshift/load/retry_budget.py
+++ b/src/siskinshift/load/retry_budget.py
@@ -39,7 +39,7 @@
         self._part = part
         self._saved = SAVED_RETRIES_AT_START if part > 0 else 0.0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Takes a success."""
         self._saved = min(MAX_SAVED_RETRIES, self._saved + self._part)
 
