--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -95,7 +95,7 @@
         self._records = FlowRecords()
         self._retries: deque[tuple[float, FlowRecord, Attempt]] = deque()
         self._held: deque[FlowRecord] = deque()
-        self._retry_budget = RetryBudget(part=RETRY_PART)
+        self._retry_budget = RetryBudget(fraction=RETRY_PART)
         self._forwarding = Forwarding()
         self._finder = OwnerFinder(
             fleet=fleet,
--- a/src/siskinshift/load/gate_state.py
+++ b/src/siskinshift/load/gate_state.py
@@ -74,7 +74,7 @@
             shares=self.shares, importance_floor=settings.importance_floor
         )
         self.parts = PartLimit(settings)
-        self.budget = RetryBudget(part=settings.retry_part)
+        self.budget = RetryBudget(fraction=settings.retry_part)
         self.ramp = ColdStartRamp(started_at=now, ramp_time=ramp_time)
         self.watch = UpstreamWatch(settings)
         self.meter = UsageMeter(now=now)
--- a/src/siskinshift/load/retry_budget.py
+++ b/src/siskinshift/load/retry_budget.py
@@ -30,18 +30,18 @@
 class RetryBudget:
     """Allows retries as a share of successes."""
 
-    def __init__(self, *, part: float) -> None:
+    def __init__(self, *, fraction: float) -> None:
         """Starts with one retry.
 
         Args:
-            part: Retries earned by one success.
+            fraction: Retries earned by one success.
         """
-        self._part = part
-        self._saved = SAVED_RETRIES_AT_START if part > 0 else 0.0
+        self._fraction = fraction
+        self._saved = SAVED_RETRIES_AT_START if fraction > 0 else 0.0
 
     def record_success(self) -> None:
         """Takes a success."""
-        self._saved = min(MAX_SAVED_RETRIES, self._saved + self._part)
+        self._saved = min(MAX_SAVED_RETRIES, self._saved + self._fraction)
 
     def try_spend(self) -> bool:
         """Asks for one retry.
