--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -239,7 +239,7 @@
             Whether the request may be offered to the upstream.
         """
         with self._lock:
-            return self._gate.run_reserved(reservation_id, now=self._clock())
+            return self._gate.start_reserved(reservation_id, now=self._clock())
 
     def cancel_reserved(self, reservation_id: str) -> bool:
         """Takes a cancel of a peer's request.
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -349,7 +349,7 @@
         slot_is_free = self._peer_requests.release(reservation_id, now=now)
         return self._dispatcher.dispatch(now=now) if slot_is_free else []
 
-    def run_reserved(self, reservation_id: str, *, now: float) -> bool:
+    def start_reserved(self, reservation_id: str, *, now: float) -> bool:
         """Uses a granted reservation up.
 
         Args:
