--- a/src/siskinshift/bench/load_agents.py
+++ b/src/siskinshift/bench/load_agents.py
@@ -200,7 +200,7 @@
     def _restart(self) -> None:
         # The requests of the former life end first, as in a planned restart.
         old = self.gates[0]
-        if old.known:
+        if old.pending_count:
             self._carry_out(0, old.drain(now=self._loop.now))
             self._loop.after(TICK_SECONDS, self._restart)
             return
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -407,7 +407,7 @@
         return len(self._state.queues)
 
     @property
-    def known(self) -> int:
+    def pending_count(self) -> int:
         """Number of requests that have not ended, including those of peers."""
         return len(self._state.work_by_id)
 
