--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -230,7 +230,7 @@
     def _reserve(self, action: ReserveAtPeer, request: Request) -> None:
         granted = self._ask(action, request)
         self._runner.decide(
-            lambda gate, now: gate.reservation_answered(
+            lambda gate, now: gate.handle_reservation_reply(
                 action.request_id,
                 peer_id=action.peer_id,
                 reservation_id=action.reservation_id,
--- a/src/siskinshift/bench/load_agents.py
+++ b/src/siskinshift/bench/load_agents.py
@@ -301,7 +301,7 @@
     def _on_answer(
         self, asker: int, request_id: int, peer: int, answer: AnswerReservation
     ) -> None:
-        actions = self.gates[asker].reservation_answered(
+        actions = self.gates[asker].handle_reservation_reply(
             request_id,
             peer_id=self._names[peer],
             reservation_id=answer.reservation_id,
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -274,7 +274,7 @@
 
     # Messages between agents: the side that holds the request.
 
-    def reservation_answered(
+    def handle_reservation_reply(
         self,
         request_id: int,
         *,
@@ -295,7 +295,7 @@
         Returns:
             The actions to carry out.
         """
-        return self._peer_search.reservation_answered(
+        return self._peer_search.handle_reservation_reply(
             request_id,
             peer_id=peer_id,
             reservation_id=reservation_id,
--- a/src/siskinshift/load/peer_search.py
+++ b/src/siskinshift/load/peer_search.py
@@ -50,7 +50,7 @@
         self._reservation_numbers = itertools.count(1)
         self.peers = PeerSelector(random=state.random)
 
-    def reservation_answered(
+    def handle_reservation_reply(
         self,
         request_id: int,
         *,
