--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -95,7 +95,7 @@
         self._records = FlowRecords()
         self._retry_timers: deque[tuple[float, FlowRecord, Attempt]] = deque()
         self._held_records: deque[FlowRecord] = deque()
-        self._retry_budget = RetryBudget(part=RETRY_FRACTION)
+        self._retry_budget = RetryBudget(fraction=RETRY_FRACTION)
         self._forwarding = Forwarding()
         self._finder = OwnerFinder(
             fleet=fleet,
@@ -418,7 +418,7 @@
         """Offers a flow to another agent after a missing reply, within the budget."""
         if len(record.attempts) >= MAX_ATTEMPTS:
             return []
-        if not self._retry_budget.take():
+        if not self._retry_budget.try_spend():
             self._log.decision(
                 "not tried again", flow=format_flow(record.flow), reason="retry budget"
             )
@@ -475,7 +475,7 @@
             verdict=verdict.name.lower(),
         )
         if verdict is Verdict.ACCEPTED:
-            self._retry_budget.succeeded()
+            self._retry_budget.record_success()
             self._log.metrics.observe("flow_opening", now - record.opened_at)
             return []
         if any(a.verdict in (None, Verdict.ACCEPTED) for a in record.attempts):
