--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -184,7 +184,7 @@
         """Lists all other balancers, or all balancers for an agent."""
         return [p for p in self.peers_by_id.values() if p.member.role is Role.BALANCER]
 
-    def heard(self, status: Status, *, now: float) -> Peer | None:
+    def handle_status(self, status: Status, *, now: float) -> Peer | None:
         """Takes a member's own words.
 
         Args:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -361,7 +361,7 @@
         before = self.fleet.peers_by_id.get(status.member.member_id)
         incarnation = before.member.incarnation if before else 0
         silent_since = before.heard_at if before else now
-        peer = self.fleet.heard(status, now=now)
+        peer = self.fleet.handle_status(status, now=now)
         if peer is None:
             return
         if before is None:
