--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -205,7 +205,7 @@
         self.took_load(peer, status.load)
         return peer
 
-    def alive(self, peer: Peer, words: Alive, *, now: float) -> bool:
+    def handle_alive(self, peer: Peer, words: Alive, *, now: float) -> bool:
         """Takes a peer's word that it lives.
 
         Args:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -378,7 +378,7 @@
 
     def _on_alive(self, words: Alive, source: tuple[str, int], now: float) -> None:
         peer = self.fleet.peers_by_address.get(source)
-        if peer is None or not self.fleet.alive(peer, words, now=now):
+        if peer is None or not self.fleet.handle_alive(peer, words, now=now):
             # A peer that is not known, or not as it is now: its whole record is
             # asked for.
             self.send_datagram(self._own_status(wants_status=True), source)
