--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -195,7 +195,7 @@
         Returns:
             What to do.
         """
-        self._fleet.answered(agent, now=now)
+        self._fleet.record_message(agent, now=now)
         self._fleet.took_load(agent, verdict.load)
         record = self._records.find(verdict.flow)
         if record is None:
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -201,7 +201,7 @@
             self._remove(peer)
             return peer
         peer.configuration_version = status.configuration_version
-        self.answered(peer, now=now)
+        self.record_message(peer, now=now)
         self.took_load(peer, status.load)
         return peer
 
@@ -221,7 +221,7 @@
             return False
         peer.configuration_version = words.configuration_version
         peer.speaks_within = max(words.next_within, STATUS_INTERVAL_SECONDS)
-        self.answered(peer, now=now)
+        self.record_message(peer, now=now)
         self.took_load(peer, words.load)
         return True
 
@@ -235,7 +235,7 @@
         peer.load = load
         peer.placed = 0
 
-    def answered(self, peer: Peer, *, now: float) -> None:
+    def record_message(self, peer: Peer, *, now: float) -> None:
         """Takes note of any other message of a peer.
 
         Args:
