--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -247,7 +247,7 @@
         peer.unanswered = 0
         peer.is_registered = True
 
-    def asked(self, peer: Peer, *, now: float) -> None:
+    def record_query(self, peer: Peer, *, now: float) -> None:
         """Takes note that a peer owes an answer.
 
         Guards against callers that wait for a dead agent of another failure domain: by
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -304,7 +304,7 @@
         question = encode_question(Question(record.flow, record.acknowledged))
         actions: list[ToPeer] = []
         for agent in agents:
-            self._fleet.asked(agent, now=now)
+            self._fleet.record_query(agent, now=now)
             if agent.member.member_id in search.questioned:
                 actions.append(ToPeer(agent.address, question))
             else:
