--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -259,7 +259,9 @@
         """
         peer.asked_at = min(peer.asked_at, now)
 
-    def registered(self, members: Iterable[Member], *, now: float) -> list[Peer]:
+    def apply_registrations(
+        self, members: Iterable[Member], *, now: float
+    ) -> list[Peer]:
         """Takes a whole reading of the store.
 
         Args:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -403,7 +403,7 @@
         wanted = [member for member in members if self.is_wanted(member)]
 
         def take() -> None:
-            self._greet(self.fleet.registered(wanted, now=self.clock()))
+            self._greet(self.fleet.apply_registrations(wanted, now=self.clock()))
             if not self._has_asked:
                 self._ask_seeds(self.clock())
 
