--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -196,7 +196,7 @@
             What to do.
         """
         self._fleet.record_message(agent, now=now)
-        self._fleet.took_load(agent, verdict.load)
+        self._fleet.update_load(agent, verdict.load)
         record = self._records.find(verdict.flow)
         if record is None:
             return []
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -202,7 +202,7 @@
             return peer
         peer.configuration_version = status.configuration_version
         self.record_message(peer, now=now)
-        self.took_load(peer, status.load)
+        self.update_load(peer, status.load)
         return peer
 
     def handle_alive(self, peer: Peer, words: Alive, *, now: float) -> bool:
@@ -222,10 +222,10 @@
         peer.configuration_version = words.configuration_version
         peer.speaks_within = max(words.next_within, STATUS_INTERVAL_SECONDS)
         self.record_message(peer, now=now)
-        self.took_load(peer, words.load)
+        self.update_load(peer, words.load)
         return True
 
-    def took_load(self, peer: Peer, load: Load) -> None:
+    def update_load(self, peer: Peer, load: Load) -> None:
         """Takes an agent's load.
 
         Args:
