--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -385,7 +385,7 @@
             return self._hold(record, now=now)
         attempt = Attempt(agent)
         record.attempts.append(attempt)
-        agent.placed += 1
+        agent.flows_since_load += 1
         self._retries.append((now + RETRY_AFTER_SECONDS, record, attempt))
         self._log.decision(
             "open",
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -67,7 +67,7 @@
         is_registered: Whether it may have an entry: the newest reading of the store
             shows it, or it has spoken since.
         load: Its newest load.
-        placed: New flows sent to it since that load was told.
+        flows_since_load: New flows sent to it since that load was told.
         configuration_version: Newest configuration that it holds.
         speaks_within: Seconds within which it speaks again, by its own word.
         asked_at: When it was first asked something that it has not answered, seconds;
@@ -83,7 +83,7 @@
     registered_at: float = NEVER
     is_registered: bool = False
     load: Load = NO_LOAD
-    placed: int = 0
+    flows_since_load: int = 0
     configuration_version: int = 0
     speaks_within: float = STATUS_INTERVAL_SECONDS
     asked_at: float = float("inf")
@@ -233,7 +233,7 @@
             load: Its load.
         """
         peer.load = load
-        peer.placed = 0
+        peer.flows_since_load = 0
 
     def record_message(self, peer: Peer, *, now: float) -> None:
         """Takes note of any other message of a peer.
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -127,6 +127,6 @@
         Load for each slot at full strength; a cold upstream's counts for more.
     """
     load = agent.load
-    work = load.flows + agent.placed + RUNNING_WEIGHT * load.running
+    work = load.flows + agent.flows_since_load + RUNNING_WEIGHT * load.running
     strength = agent.member.slots * max(1, agent.member.weight) / FULL_WEIGHT
     return (work + 1) / strength
