--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -309,7 +309,7 @@
         while self._retries and self._retries[0][0] <= now:
             _, record, attempt = self._retries.popleft()
             if attempt.verdict is None and self._records.find(record.flow) is record:
-                attempt.agent.unanswered += 1
+                attempt.agent.unanswered_openings += 1
                 actions += self._try_again(record, now=now)
         actions += self._finder.tick(now=now)
         while self._held and now - self._held[0].opened_at > HOLD_SECONDS:
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -72,7 +72,7 @@
         speaks_within: Seconds within which it speaks again, by its own word.
         asked_at: When it was first asked something that it has not answered, seconds;
             never if it has spoken since.
-        unanswered: Opening packets in a row that it did not answer.
+        unanswered_openings: Opening packets in a row that it did not answer.
         key: Hash of its member id, for the choice of agents by a flow's hash.
     """
 
@@ -87,7 +87,7 @@
     configuration_version: int = 0
     speaks_within: float = STATUS_INTERVAL_SECONDS
     asked_at: float = float("inf")
-    unanswered: int = 0
+    unanswered_openings: int = 0
     key: int = 0
 
     def __attrs_post_init__(self) -> None:
@@ -244,7 +244,7 @@
         """
         peer.heard_at = now
         peer.asked_at = float("inf")
-        peer.unanswered = 0
+        peer.unanswered_openings = 0
         peer.is_registered = True
 
     def record_query(self, peer: Peer, *, now: float) -> None:
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -84,7 +84,9 @@
         open_agents = [a for a in heard if a.member.member_id not in tried]
         if not open_agents:
             return None
-        sure = [agent for agent in open_agents if agent.unanswered < DOUBTED_AFTER]
+        sure = [
+            agent for agent in open_agents if agent.unanswered_openings < DOUBTED_AFTER
+        ]
         candidates = sure or open_agents
         near = [a for a in candidates if self._is_near(a)]
         far = [a for a in candidates if not self._is_near(a)]
