--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -394,7 +394,7 @@
             attempt=len(record.attempts),
             load=agent.load.flows,
             running=agent.load.running,
-            load_age=round(now - agent.heard_at, 3),
+            load_age=round(now - agent.last_seen_at, 3),
         )
         return [
             *self._warm_up(agent, record.service_id),
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -61,7 +61,7 @@
     Attributes:
         member: Its newest record.
         address: Where its datagrams go.
-        heard_at: When it last said something itself, seconds.
+        last_seen_at: When it last said something itself, seconds.
         known_at: When it was first told of, or told of as restarted, seconds.
         registered_at: When the store last showed its entry, seconds.
         is_registered: Whether it may have an entry: the newest reading of the store
@@ -78,7 +78,7 @@
 
     member: Member
     address: tuple[str, int]
-    heard_at: float = NEVER
+    last_seen_at: float = NEVER
     known_at: float = NEVER
     registered_at: float = NEVER
     is_registered: bool = False
@@ -117,8 +117,8 @@
         patience = IDLE_ANSWER_SECONDS if self.held_none else ANSWER_SECONDS
         if now - self.asked_at > patience:
             return True
-        if self.heard_at >= self.known_at:
-            return now - self.heard_at > self.silent_after
+        if self.last_seen_at >= self.known_at:
+            return now - self.last_seen_at > self.silent_after
         return now - self.known_at > ANSWER_SECONDS
 
 
@@ -242,7 +242,7 @@
             peer: The peer.
             now: Clock reading, seconds.
         """
-        peer.heard_at = now
+        peer.last_seen_at = now
         peer.asked_at = float("inf")
         peer.unanswered_openings = 0
         peer.is_registered = True
@@ -298,7 +298,8 @@
         return [
             peer
             for peer in self.peers_by_id.values()
-            if peer.heard_at < peer.known_at and now - peer.known_at <= ANSWER_SECONDS
+            if peer.last_seen_at < peer.known_at
+            and now - peer.known_at <= ANSWER_SECONDS
         ]
 
     def has_silent(self, *, now: float) -> bool:
@@ -328,7 +329,7 @@
             peer
             for peer in self.peers_by_id.values()
             if not peer.is_registered
-            and now - max(peer.heard_at, peer.registered_at)
+            and now - max(peer.last_seen_at, peer.registered_at)
             > max(FORGET_AFTER_SECONDS, peer.silent_after)
         ]
         for peer in gone:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -360,7 +360,7 @@
     def _on_status(self, status: Status, source: tuple[str, int], now: float) -> None:
         before = self.fleet.peers_by_id.get(status.member.member_id)
         incarnation = before.member.incarnation if before else 0
-        silent_since = before.heard_at if before else now
+        silent_since = before.last_seen_at if before else now
         peer = self.fleet.handle_status(status, now=now)
         if peer is None:
             return
