--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -62,7 +62,7 @@
         member: Its newest record.
         address: Where its datagrams go.
         last_seen_at: When it last said something itself, seconds.
-        known_at: When it was first told of, or told of as restarted, seconds.
+        discovered_at: When it was first told of, or told of as restarted, seconds.
         registered_at: When the store last showed its entry, seconds.
         is_registered: Whether it may have an entry: the newest reading of the store
             shows it, or it has spoken since.
@@ -79,7 +79,7 @@
     member: Member
     address: tuple[str, int]
     last_seen_at: float = NEVER
-    known_at: float = NEVER
+    discovered_at: float = NEVER
     registered_at: float = NEVER
     is_registered: bool = False
     load: Load = NO_LOAD
@@ -117,9 +117,9 @@
         patience = IDLE_ANSWER_SECONDS if self.held_none else ANSWER_SECONDS
         if now - self.asked_at > patience:
             return True
-        if self.last_seen_at >= self.known_at:
+        if self.last_seen_at >= self.discovered_at:
             return now - self.last_seen_at > self.silent_after
-        return now - self.known_at > ANSWER_SECONDS
+        return now - self.discovered_at > ANSWER_SECONDS
 
 
 class Fleet:
@@ -298,8 +298,8 @@
         return [
             peer
             for peer in self.peers_by_id.values()
-            if peer.last_seen_at < peer.known_at
-            and now - peer.known_at <= ANSWER_SECONDS
+            if peer.last_seen_at < peer.discovered_at
+            and now - peer.discovered_at <= ANSWER_SECONDS
         ]
 
     def has_silent(self, *, now: float) -> bool:
@@ -342,7 +342,7 @@
         peer = self.peers_by_id.get(member.member_id)
         if peer is None:
             address = (member.data.host, member.data.port)
-            peer = Peer(member, address, known_at=now)
+            peer = Peer(member, address, discovered_at=now)
             self.peers_by_id[member.member_id] = peer
             self.peers_by_address[peer.address] = peer
             self._index()
@@ -350,7 +350,7 @@
         if not _replaces(member, peer.member, is_own_word=is_own_word):
             return peer
         if member.incarnation != peer.member.incarnation:
-            peer.known_at = now
+            peer.discovered_at = now
         moved = peer.member.data != member.data
         reclassed = peer.member.upstream_class != member.upstream_class
         peer.member = member
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -128,4 +128,4 @@
 
     def _has_spoken(self, host: str) -> bool:
         peer = self._fleet.peers_by_address.get((host, self._own.data.port))
-        return peer is not None and peer.last_seen_at >= peer.known_at
+        return peer is not None and peer.last_seen_at >= peer.discovered_at
