--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -99,7 +99,7 @@
         return SILENT_AFTER_WORDS * self.speaks_within + LATE_SECONDS
 
     @property
-    def held_none(self) -> bool:
+    def was_idle(self) -> bool:
         """Whether it held no flow for certain, and could take none, when it spoke."""
         is_open = self.member.state is MemberState.READY
         return self.load.is_certain and not self.load.flows and not is_open
@@ -114,7 +114,7 @@
             Whether it has not spoken lately, or not at all since it was told of, or
             not since it was asked.
         """
-        patience = IDLE_ANSWER_SECONDS if self.held_none else ANSWER_SECONDS
+        patience = IDLE_ANSWER_SECONDS if self.was_idle else ANSWER_SECONDS
         if now - self.asked_at > patience:
             return True
         if self.last_seen_at >= self.discovered_at:
--- a/src/siskinshift/connections/owner_search.py
+++ b/src/siskinshift/connections/owner_search.py
@@ -212,7 +212,7 @@
             peer = fleet.peers_by_id.get(member_id)
             if peer is None or (has_had_a_moment and peer.is_silent(now=now)):
                 self.pending.discard(member_id)
-                if peer is not None and peer.held_none:
+                if peer is not None and peer.was_idle:
                     self.denied.add(member_id)
             else:
                 waited_for.append(peer)
