--- a/src/siskinshift/connections/departure.py
+++ b/src/siskinshift/connections/departure.py
@@ -76,7 +76,7 @@
 
 def _can_spare_one(peers: Collection[Peer], *, now: float) -> bool:
     ready = sum(
-        peer.member.state is MemberState.READY and not peer.is_silent(now=now)
+        peer.member.state is MemberState.READY and not peer.is_unresponsive(now=now)
         for peer in peers
     )
     # One that serves alone can't wait for others: neighbouring domains take over.
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -60,7 +60,7 @@
         # Those of the revision before are of no more use.
         self._sent_by_member_id.clear()
         concerned = [agent for agent in agents if self._concerns(agent)]
-        others = [peer.key for peer in balancers if not peer.is_silent(now=now)]
+        others = [peer.key for peer in balancers if not peer.is_unresponsive(now=now)]
         ring = sorted([*others, self._key])
         return [
             self._send(agent)
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -104,7 +104,7 @@
         is_open = self.member.state is MemberState.READY
         return self.load.is_certain and not self.load.flows and not is_open
 
-    def is_silent(self, *, now: float) -> bool:
+    def is_unresponsive(self, *, now: float) -> bool:
         """Says whether the peer should have spoken by now.
 
         Args:
@@ -312,7 +312,7 @@
             Whether the entries are worth a reading.
         """
         return any(
-            peer.is_registered and peer.is_silent(now=now)
+            peer.is_registered and peer.is_unresponsive(now=now)
             for peer in self.peers_by_id.values()
         )
 
--- a/src/siskinshift/connections/owner_search.py
+++ b/src/siskinshift/connections/owner_search.py
@@ -210,7 +210,7 @@
         waited_for = []
         for member_id in sorted(self.pending):
             peer = fleet.peers_by_id.get(member_id)
-            if peer is None or (has_had_a_moment and peer.is_silent(now=now)):
+            if peer is None or (has_had_a_moment and peer.is_unresponsive(now=now)):
                 self.pending.discard(member_id)
                 if peer is not None and peer.was_idle:
                     self.denied.add(member_id)
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -80,7 +80,7 @@
         ready = [a for a in allowed if a.member.state is MemberState.READY]
         # A full link loses all heartbeats alike. That nobody is heard is hardly the
         # agents' fault; refused callers would go without free upstreams.
-        heard = [a for a in ready if not a.is_silent(now=now)] or ready
+        heard = [a for a in ready if not a.is_unresponsive(now=now)] or ready
         open_agents = [a for a in heard if a.member.member_id not in tried]
         if not open_agents:
             return None
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -65,7 +65,7 @@
         balancer
         for balancer in balancers
         if balancer.member.state is MemberState.READY
-        and not balancer.is_silent(now=now)
+        and not balancer.is_unresponsive(now=now)
     ]
     if not able:
         return None
