--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -316,7 +316,7 @@
             for peer in self.peers_by_id.values()
         )
 
-    def forget_silent(self, *, now: float) -> list[Peer]:
+    def remove_unresponsive(self, *, now: float) -> list[Peer]:
         """Forgets peers for which nothing speaks any more.
 
         Args:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -432,7 +432,7 @@
             self._greet_hosts(now)
         if now - self._forgot_at >= FORGET_INTERVAL_SECONDS:
             self._forgot_at = now
-            for peer in self.fleet.forget_silent(now=now):
+            for peer in self.fleet.remove_unresponsive(now=now):
                 self.log.fact("peer forgotten", peer=peer.member.member_id)
             self._has_silent = self.fleet.has_silent(now=now)
         due = min(self._forgot_at + FORGET_INTERVAL_SECONDS, self.on_due(now))
