--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -31,7 +31,7 @@
 # Five words lost in a row are no chance on a link that loses one in forty.
 SILENT_AFTER_WORDS = 5
 # A word may come late by this without being lost.
-LATE_SECONDS = 0.1
+DELAY_ALLOWANCE_SECONDS = 0.1
 # A peer that a node was told of is greeted until it speaks; it answers in milliseconds,
 # or within this when it starts as well or greetings are lost. The store shows entries
 # of the dead until their leases end, and flows that nobody holds are found out only
@@ -96,7 +96,7 @@
     @property
     def silent_after(self) -> float:
         """Seconds without a word after which it counts as silent."""
-        return SILENT_AFTER_WORDS * self.speaks_within + LATE_SECONDS
+        return SILENT_AFTER_WORDS * self.speaks_within + DELAY_ALLOWANCE_SECONDS
 
     @property
     def was_idle(self) -> bool:
@@ -157,7 +157,9 @@
         if self._knows_all:
             return True
         pauses = (peer.speaks_within for peer in self.peers_by_id.values())
-        allowed = max(COMPLETE_AFTER_SECONDS, max(pauses, default=0.0) + LATE_SECONDS)
+        allowed = max(
+            COMPLETE_AFTER_SECONDS, max(pauses, default=0.0) + DELAY_ALLOWANCE_SECONDS
+        )
         self._knows_all = now - self._began_at >= allowed
         return self._knows_all
 
