--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -36,7 +36,7 @@
 # or within this when it starts as well or greetings are lost. The store shows entries
 # of the dead until their leases end, and flows that nobody holds are found out only
 # when all agents have spoken.
-ANSWER_SECONDS = 1.5
+REPLY_TIMEOUT_SECONDS = 1.5
 # The same for an agent that held no flow, by its last word, and could take none. Two
 # questions fit in. Instances whose upstreams were taken away come back for a moment
 # after a loss of power, and go without a word.
@@ -114,12 +114,12 @@
             Whether it has not spoken lately, or not at all since it was told of, or
             not since it was asked.
         """
-        patience = IDLE_ANSWER_SECONDS if self.was_idle else ANSWER_SECONDS
+        patience = IDLE_ANSWER_SECONDS if self.was_idle else REPLY_TIMEOUT_SECONDS
         if now - self.asked_at > patience:
             return True
         if self.last_seen_at >= self.discovered_at:
             return now - self.last_seen_at > self.silent_after
-        return now - self.discovered_at > ANSWER_SECONDS
+        return now - self.discovered_at > REPLY_TIMEOUT_SECONDS
 
 
 class Fleet:
@@ -301,7 +301,7 @@
             peer
             for peer in self.peers_by_id.values()
             if peer.last_seen_at < peer.discovered_at
-            and now - peer.discovered_at <= ANSWER_SECONDS
+            and now - peer.discovered_at <= REPLY_TIMEOUT_SECONDS
         ]
 
     def has_silent(self, *, now: float) -> bool:
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.fleet import ANSWER_SECONDS
+from siskinshift.connections.fleet import REPLY_TIMEOUT_SECONDS
 from siskinshift.connections.peer_codec import KNOWN_HOSTS_MAXIMUM
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.messages.core import Role
@@ -74,7 +74,7 @@
         return [
             host
             for host, told_at in self._told_at_by_host.items()
-            if now - told_at <= ANSWER_SECONDS and not self._has_spoken(host)
+            if now - told_at <= REPLY_TIMEOUT_SECONDS and not self._has_spoken(host)
         ]
 
     def strangers(self, *, now: float) -> list[str]:
