--- a/src/siskinshift/connections/member_documents.py
+++ b/src/siskinshift/connections/member_documents.py
@@ -22,7 +22,7 @@
 VERSION_MAXIMUM = (1 << 32) - 1
 # No upstream runs more requests at once; the choice among agents divides by this. A
 # heartbeat with more is refused too, or peers would refuse the agent's record.
-SLOTS_MAXIMUM = 10_000
+MAX_SLOTS = 10_000
 WEIGHT_MAXIMUM = 1_000_000
 
 ChoiceT = TypeVar("ChoiceT", bound=StrEnum)
@@ -84,7 +84,7 @@
         data=endpoint,
         upstream_class=text_of(document, "upstream_class", may_be_empty=True),
         weight=whole_of(document, "weight", maximum=WEIGHT_MAXIMUM),
-        slots=whole_of(document, "slots", minimum=1, maximum=SLOTS_MAXIMUM),
+        slots=whole_of(document, "slots", minimum=1, maximum=MAX_SLOTS),
     )
 
 
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from siskinshift.connections.incarnation import Incarnation
-from siskinshift.connections.member_documents import SLOTS_MAXIMUM
+from siskinshift.connections.member_documents import MAX_SLOTS
 from siskinshift.connections.upstream_life import EndNotice
 from siskinshift.connections.upstream_life import Heartbeat
 from siskinshift.control.documents import number_of
@@ -65,7 +65,7 @@
         incarnation=_incarnation(upstream_id, body),
         service_id=text_of(body, "service"),
         sequence=whole_of(body, "seq"),
-        slots=whole_of(body, "capacity", minimum=1, maximum=SLOTS_MAXIMUM),
+        slots=whole_of(body, "capacity", minimum=1, maximum=MAX_SLOTS),
         is_leaving=_IS_LEAVING_BY_STATE[state],
         cold_seconds=cold_ms / MILLISECONDS,
     )
