--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -382,7 +382,7 @@
         if self._peer_client is not None:
             self._peer_client.close()
 
-    def answer_peer(self, request: HttpRequest) -> HttpReply:
+    def handle_peer_request(self, request: HttpRequest) -> HttpReply:
         """Gives peers what operators wrote, keeps agents' lists."""
         if request.path == CONFIGURATION_PATH:
             value = self._configuration_value
@@ -394,7 +394,7 @@
             return HttpReply(200, encode_evacuations(current))
         if request.path.startswith(FLOW_LIST_PATH):
             return self._keep_list(request)
-        return super().answer_peer(request)
+        return super().handle_peer_request(request)
 
     def _keep_list(self, request: HttpRequest) -> HttpReply:
         member_id = request.path.removeprefix(FLOW_LIST_PATH)
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -133,7 +133,7 @@
         )
         self.add_sockets()
         own = Endpoint(self.node_settings.host, self.node_settings.peer_port)
-        self.serve(own, self.answer_peer)
+        self.serve(own, self.handle_peer_request)
         if self.node_settings.readiness is not None:
             self.serve(self.node_settings.readiness, self._answer_readiness)
         self.spawn(self._keep_registered)
@@ -468,7 +468,7 @@
         while not self.stopping.is_set():
             self.stopping.wait(self._registration.step(now=self.clock()))
 
-    def answer_peer(self, request: HttpRequest) -> HttpReply:
+    def handle_peer_request(self, request: HttpRequest) -> HttpReply:
         """Answers calls of peers and of whoever collects metrics.
 
         Args:
