--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -155,7 +155,7 @@
         """
         return member.role is Role.BALANCER
 
-    def begin_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Takes no new flow and ends as soon as no request runs."""
         now = self.clock()
         self._left_by = now
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -163,7 +163,7 @@
         """Version in force; 0 before the first."""
         return self._flows.routes.version if self._flows.routes else 0
 
-    def begin_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Plans the end: not ready as soon as the domain can spare this balancer."""
         self._departure = Departure(
             started_at=self.clock(),
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -188,7 +188,7 @@
         """Newest configuration that the node holds; 0 for none."""
         return 0
 
-    def begin_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Hook: the process was told to end; sets `stopping` when it may."""
         raise NotImplementedError
 
@@ -497,4 +497,4 @@
             return
         self.is_leaving = True
         self.log.fact("leaving")
-        self.begin_leaving()
+        self.begin_shutdown()
