--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -109,7 +109,7 @@
             hand_over=self._snapshot_upload.hand_over,
             log=self.log,
         )
-        self._schedule = self.new_schedule(interval=STATUS_INTERVAL_SECONDS)
+        self._schedule = self.new_heartbeat_schedule(interval=STATUS_INTERVAL_SECONDS)
         self._heartbeat_at = float("-inf")
         self._probed_at = float("-inf")
         self._is_probing = False
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -128,8 +128,12 @@
         self._peer_client: HttpClient | None = None
         self._is_fetching = False
         self._catch_up = CatchUp()
-        self._agent_schedule = self.new_schedule(interval=AGENT_STATUS_SECONDS)
-        self._balancer_schedule = self.new_schedule(interval=BALANCER_STATUS_SECONDS)
+        self._agent_schedule = self.new_heartbeat_schedule(
+            interval=AGENT_STATUS_SECONDS
+        )
+        self._balancer_schedule = self.new_heartbeat_schedule(
+            interval=BALANCER_STATUS_SECONDS
+        )
         self._received_at = self.clock()
         self._departure: Departure | None = None
 
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -278,7 +278,7 @@
         for peer in due.peers:
             self.send_datagram(datagram, peer.address)
 
-    def new_schedule(self, *, interval: float) -> HeartbeatSchedule:
+    def new_heartbeat_schedule(self, *, interval: float) -> HeartbeatSchedule:
         """Makes a schedule of heartbeats to one kind of peers.
 
         Args:
