--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -147,7 +147,7 @@
         """Entries of balancers."""
         return role_prefix(Role.BALANCER)
 
-    def is_wanted(self, member: Member) -> bool:
+    def is_relevant_member(self, member: Member) -> bool:
         """Agents speak to balancers alone.
 
         Guards against a flood when all nodes start: most pairs of a fleet are agents,
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -395,12 +395,12 @@
         """Prefix of the entries in the store that this node has to know."""
         return MEMBERS_PREFIX
 
-    def is_wanted(self, member: Member) -> bool:
+    def is_relevant_member(self, member: Member) -> bool:
         """Whether this node has to know a member that it reads of."""
         return True
 
     def _take_registered(self, members: list[Member]) -> None:
-        wanted = [member for member in members if self.is_wanted(member)]
+        wanted = [member for member in members if self.is_relevant_member(member)]
 
         def take() -> None:
             self._greet(self.fleet.apply_registrations(wanted, now=self.clock()))
