--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -456,7 +456,7 @@
         super().on_stop()
         self._is_list_urgent.set()
         if self.life.is_gone:
-            self.end_registration()
+            self.deregister()
 
     def _on_process_gone(self, probed_at: float) -> None:
         if self.flows.upstream_heard_at >= probed_at:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -169,7 +169,7 @@
         """Logs the error; without the line a node that lost a task looks well."""
         self.log.fact("task failed", error=repr(error))
 
-    def end_registration(self) -> None:
+    def deregister(self) -> None:
         """Takes the node's entry out of the store, so that nobody waits for it."""
         self._registration.end()
 
