--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -201,14 +201,14 @@
         return actions
 
     def on_peer_restarted(
-        self, peer: Peer, silent_since: float, now: float
+        self, peer: Peer, last_seen_at: float, now: float
     ) -> Iterable[Action]:
         """Sends an agent again what it missed."""
         if peer.member.role is not Role.AGENT:
             return ()
         return [
             *self._dissemination.on_agent_heard(peer),
-            *self._flows.on_agent_restarted(peer, silent_since=silent_since, now=now),
+            *self._flows.on_agent_restarted(peer, silent_since=last_seen_at, now=now),
         ]
 
     def on_due(self, now: float) -> float:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -222,7 +222,7 @@
         return ()
 
     def on_peer_restarted(
-        self, peer: Peer, silent_since: float, now: float
+        self, peer: Peer, last_seen_at: float, now: float
     ) -> Iterable[Action]:
         """Hook: a known peer speaks as a new process."""
         return ()
@@ -360,7 +360,7 @@
     def _on_status(self, status: Status, source: tuple[str, int], now: float) -> None:
         before = self.fleet.peers_by_id.get(status.member.member_id)
         incarnation = before.member.incarnation if before else 0
-        silent_since = before.last_seen_at if before else now
+        last_seen_at = before.last_seen_at if before else now
         peer = self.fleet.handle_status(status, now=now)
         if peer is None:
             return
@@ -373,7 +373,7 @@
                 self.send_datagram(encode_known_hosts(known), source)
         if before is not None and incarnation != status.member.incarnation:
             self.log.fact("peer restarted", peer=status.member.member_id)
-            self.perform(self.on_peer_restarted(peer, silent_since, now))
+            self.perform(self.on_peer_restarted(peer, last_seen_at, now))
         self.perform(self.on_peer_status(peer, now))
 
     def _on_alive(self, words: Alive, source: tuple[str, int], now: float) -> None:
