--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -12,7 +12,6 @@
 from siskinshift.connections.agent_flows import AgentFlows
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
-from siskinshift.connections.first_start import FirstStart
 from siskinshift.connections.fleet import STATUS_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import HAND_OVER_SECONDS
 from siskinshift.connections.flow_snapshot import READ_PAUSE_SECONDS
@@ -33,6 +32,7 @@
 from siskinshift.connections.upstream_life import Heartbeat
 from siskinshift.connections.upstream_life import HeartbeatEffect
 from siskinshift.connections.upstream_life import UpstreamLife
+from siskinshift.connections.upstream_restart_check import UpstreamRestartCheck
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
@@ -115,7 +115,7 @@
         self._is_probing = False
         self._is_process_gone = False
         self._verified: Incarnation | None = None
-        self._first_start = FirstStart()
+        self._upstream_restart_check = UpstreamRestartCheck()
         self._is_list_urgent = threading.Event()
         self._told_incarnations_by_id: dict[str, int] = {}
         self._left_by = float("inf")
@@ -296,7 +296,7 @@
             effect=effect.name.lower(),
         )
         self._update_member(now)
-        self._take_first_start(self._first_start.on_heartbeat(call))
+        self._take_first_start(self._upstream_restart_check.on_heartbeat(call))
         if effect is HeartbeatEffect.REPLACED:
             # All of its flows have passed through this process; one that follows must
             # not take the list for that of a start before.
@@ -341,7 +341,7 @@
     ) -> None:
         now = self.clock()
         self.perform(self.flows.restore(flows, now=now))
-        self._take_first_start(self._first_start.on_list_read(incarnation))
+        self._take_first_start(self._upstream_restart_check.on_list_read(incarnation))
         self.log.fact("flows restored", flows=len(flows))
         # Balancers that were heard before the list was read are told now.
         self._told_incarnations_by_id.clear()
--- a/src/siskinshift/connections/first_start.py
+++ b/src/siskinshift/connections/upstream_restart_check.py
@@ -16,7 +16,7 @@
     from siskinshift.connections.upstream_life import Heartbeat
 
 
-class FirstStart:
+class UpstreamRestartCheck:
     """Compares the first heartbeat with the list that the process before wrote.
 
     An upstream that is another start than the list names, and still cold, holds no flow
