--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -341,7 +341,9 @@
     ) -> None:
         now = self.clock()
         self.perform(self.flows.restore(flows, now=now))
-        self._take_first_start(self._upstream_restart_check.on_list_read(incarnation))
+        self._take_first_start(
+            self._upstream_restart_check.on_snapshot_read(incarnation)
+        )
         self.log.fact("flows restored", flows=len(flows))
         # Balancers that were heard before the list was read are told now.
         self._told_incarnations_by_id.clear()
--- a/src/siskinshift/connections/upstream_restart_check.py
+++ b/src/siskinshift/connections/upstream_restart_check.py
@@ -44,7 +44,7 @@
         self._heard = heartbeat
         return self._is_new
 
-    def on_list_read(self, incarnation: Incarnation | None) -> bool:
+    def on_snapshot_read(self, incarnation: Incarnation | None) -> bool:
         """Takes note of whose flows the list of the process before names.
 
         Args:
