--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -7,7 +7,7 @@
 
 from attrs import frozen
 
-from siskinshift.connections.store_contact import StoreContact
+from siskinshift.connections.store_availability import StoreAvailability
 from siskinshift.kv.exceptions import StoreCompactedError
 from siskinshift.kv.exceptions import StoreUnavailableError
 from siskinshift.kv.guard import Backoff
@@ -100,7 +100,7 @@
         self._evacuations = evacuations
         self._on_reading = on_reading
         self._log = log
-        self._contact = StoreContact(
+        self._availability = StoreAvailability(
             "configuration", retry=RETRY, random=random, log=log
         )
         self._is_behind = False
@@ -122,7 +122,7 @@
     @property
     def is_failing(self) -> bool:
         """Whether the last call failed."""
-        return self._contact.is_lost
+        return self._availability.is_lost
 
     def follow_until(self, stopping: threading.Event) -> None:
         """Follows until told to stop.
@@ -136,7 +136,7 @@
             except StoreCompactedError:
                 self._log.fact("configuration history lost")
             except StoreUnavailableError as error:
-                stopping.wait(self._contact.failed(error))
+                stopping.wait(self._availability.record_failure(error))
 
     def _follow(self, stopping: threading.Event) -> None:
         revision = self._read_newest(stopping)
@@ -145,7 +145,7 @@
             for batch in watch:
                 if stopping.is_set():
                     return
-                self._contact.succeeded()
+                self._availability.record_success()
                 if not self._evacuations.apply(batch):
                     return
                 changes = [e for e in batch.entries if e.key == self._key]
@@ -173,7 +173,7 @@
             # By prefix, since that gives a revision to wait from also while there is no
             # configuration yet: operators may write it long after the nodes start.
             snapshot = self._store.list_prefix(self._prefix)
-            self._contact.succeeded()
+            self._availability.record_success()
             self._evacuations.read(snapshot)
             known = self._read_revision
             for entry in snapshot.entries:
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -17,7 +17,7 @@
 
 from siskinshift.connections.member_documents import member_document
 from siskinshift.connections.member_documents import member_from_document
-from siskinshift.connections.store_contact import StoreContact
+from siskinshift.connections.store_availability import StoreAvailability
 from siskinshift.control.documents import encode_json
 from siskinshift.control.documents import parse_table
 from siskinshift.control.exceptions import BadMessageError
@@ -139,7 +139,9 @@
         self._on_members = on_members
         self._random = random
         self._log = log
-        self._contact = StoreContact("store", retry=RETRY, random=random, log=log)
+        self._availability = StoreAvailability(
+            "store", retry=RETRY, random=random, log=log
+        )
         self._lease_id = 0
         self._unsure_lease_id = 0
         self._renew_at = 0.0
@@ -164,8 +166,8 @@
                 self._read(now=now)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
             self._has_fresh_reading = False
-            return self._contact.failed(error)
-        self._contact.succeeded()
+            return self._availability.record_failure(error)
+        self._availability.record_success()
         if not self._lease_id:
             return 0.0
         return max(0.0, min(self._renew_at, self._read_at) - now)
--- a/src/siskinshift/connections/store_contact.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -12,7 +12,7 @@
     from siskinshift.observability.event_log import EventLog
 
 
-class StoreContact:
+class StoreAvailability:
     """Tells of the store's loss and return once each, and paces the tries between."""
 
     def __init__(
@@ -37,7 +37,7 @@
         """Whether the last call failed."""
         return self._failures > 0
 
-    def failed(self, error: Exception) -> float:
+    def record_failure(self, error: Exception) -> float:
         """Takes note of a call that failed.
 
         Args:
@@ -51,7 +51,7 @@
         self._failures += 1
         return self._retry.pause(self._failures, self._random)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Takes note of a call that was answered."""
         if not self._failures:
             return
