--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -13,8 +13,8 @@
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
 from siskinshift.connections.fleet import STATUS_INTERVAL_SECONDS
-from siskinshift.connections.flow_snapshot import HAND_OVER_SECONDS
 from siskinshift.connections.flow_snapshot import READ_PAUSE_SECONDS
+from siskinshift.connections.flow_snapshot import UPLOAD_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import FlowSnapshot
 from siskinshift.connections.flow_snapshot import FlowSnapshotStore
 from siskinshift.connections.node import ConnectionNode
@@ -324,7 +324,7 @@
         if listed is not None:
             self._take_listed(listed)
         while not self.stopping.is_set():
-            is_urgent = self._is_list_urgent.wait(HAND_OVER_SECONDS)
+            is_urgent = self._is_list_urgent.wait(UPLOAD_INTERVAL_SECONDS)
             self._is_list_urgent.clear()
             if not self.stopping.is_set():
                 self._snapshots.step(now=self.clock(), is_urgent=is_urgent)
--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -28,7 +28,7 @@
 
 SNAPSHOT_PREFIX = "siskinshift/flows/"
 # A flow opened after the last write is not in the list.
-HAND_OVER_SECONDS = 2.0
+UPLOAD_INTERVAL_SECONDS = 2.0
 # Pause between two writes of an agent that finds no writer: a call for each agent.
 WRITE_SECONDS = 4.0
 # Longer than an instance is away without power in an ordinary failure.
