--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -13,7 +13,7 @@
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
 from siskinshift.connections.fleet import STATUS_INTERVAL_SECONDS
-from siskinshift.connections.flow_snapshot import READ_PAUSE_SECONDS
+from siskinshift.connections.flow_snapshot import READ_RETRY_SECONDS
 from siskinshift.connections.flow_snapshot import UPLOAD_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import FlowSnapshot
 from siskinshift.connections.flow_snapshot import FlowSnapshotStore
@@ -319,7 +319,7 @@
 
     def _keep_snapshot(self) -> None:
         listed = self._snapshots.load()
-        while listed is None and not self.stopping.wait(READ_PAUSE_SECONDS):
+        while listed is None and not self.stopping.wait(READ_RETRY_SECONDS):
             listed = self._snapshots.load()
         if listed is not None:
             self._take_listed(listed)
--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -37,7 +37,7 @@
 # 64 KB of a value of a megabyte; more flows than that are left out.
 FLOWS_MAXIMUM = 2000
 # A list that could not be read is tried again at this pace.
-READ_PAUSE_SECONDS = 0.4
+READ_RETRY_SECONDS = 0.4
 _SIZE_BYTES = 2
 # A list that names its upstream's start begins with a size that no packet has, then the
 # length of the id, the start in Unix milliseconds (0 if untold) and the id.
