--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -23,7 +23,7 @@
 from siskinshift.connections.placement import AgentPlacement
 from siskinshift.connections.snapshot_writer import AGAIN_QUERY
 from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
-from siskinshift.connections.snapshot_writer import WRITTEN_SECONDS
+from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
 from siskinshift.control.documents import parse_table
 from siskinshift.control.exceptions import BadMessageError
@@ -410,7 +410,7 @@
             member_id, request.body, is_again=is_again
         )
         try:
-            return HttpReply(200 if written.result(WRITTEN_SECONDS) else 503)
+            return HttpReply(200 if written.result(WRITE_TIMEOUT_SECONDS) else 503)
         except TimeoutError:
             # It may be written all the same; the agent writes it once more.
             return HttpReply(503)
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -7,7 +7,7 @@
 
 from siskinshift.connections.snapshot_writer import AGAIN_QUERY
 from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
-from siskinshift.connections.snapshot_writer import WRITTEN_SECONDS
+from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.runtime.http_client import HttpClient
 
 
@@ -20,7 +20,7 @@
 
 CONNECT_SECONDS = 0.3
 # A writer answers within its own time and the way there and back.
-ANSWER_SECONDS = WRITTEN_SECONDS + 0.5
+ANSWER_SECONDS = WRITE_TIMEOUT_SECONDS + 0.5
 
 
 class SnapshotUpload:
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -39,7 +39,7 @@
 GATHER_SECONDS = 1.0
 # Until a list that was handed over is written: the time of gathering, and a call to a
 # slow store.
-WRITTEN_SECONDS = 2.5
+WRITE_TIMEOUT_SECONDS = 2.5
 # Writes of one transaction; the platform's store takes no more.
 LISTS_PER_CALL = 32
 # Half of it is more than the pause after which an agent hands its list over again, and
