--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -27,7 +27,7 @@
 from siskinshift.connections.peer_messages import WarmUpRate
 from siskinshift.connections.registration import role_prefix
 from siskinshift.connections.snapshot_upload import SnapshotUpload
-from siskinshift.connections.snapshot_writer import writer_of
+from siskinshift.connections.snapshot_writer import choose_writer
 from siskinshift.connections.upstream_life import EndNotice
 from siskinshift.connections.upstream_life import Heartbeat
 from siskinshift.connections.upstream_life import HeartbeatEffect
@@ -362,7 +362,7 @@
                 if peer.member.failure_domain == domain
             ]
             key = xxhash.xxh3_64_intdigest(self.member.member_id.encode())
-            return writer_of(key, near, now=self.clock())
+            return choose_writer(key, near, now=self.clock())
 
         try:
             writer = self.loop.call(choose).result(CALL_SECONDS)
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -50,7 +50,9 @@
 BALANCERS_PER_WRITER = 8
 
 
-def writer_of(agent_key: int, balancers: Sequence[Peer], *, now: float) -> Peer | None:
+def choose_writer(
+    agent_key: int, balancers: Sequence[Peer], *, now: float
+) -> Peer | None:
     """Chooses the balancer that keeps an agent's list.
 
     Args:
