--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -22,7 +22,7 @@
 from siskinshift.connections.peer_messages import Owned
 from siskinshift.connections.placement import AgentPlacement
 from siskinshift.connections.snapshot_writer import AGAIN_QUERY
-from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
+from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
 from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
 from siskinshift.control.documents import parse_table
@@ -396,12 +396,12 @@
         self.log.metrics.set_gauge("evacuations_revision", current.revision)
         if request.path == EVACUATIONS_PATH:
             return HttpReply(200, encode_evacuations(current))
-        if request.path.startswith(FLOW_LIST_PATH):
+        if request.path.startswith(SNAPSHOT_PATH):
             return self._keep_list(request)
         return super().handle_peer_request(request)
 
     def _keep_list(self, request: HttpRequest) -> HttpReply:
-        member_id = request.path.removeprefix(FLOW_LIST_PATH)
+        member_id = request.path.removeprefix(SNAPSHOT_PATH)
         if not 0 < len(member_id) <= MEMBER_ID_MAXIMUM:
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.connections.snapshot_writer import AGAIN_QUERY
-from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
+from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
 from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.runtime.http_client import HttpClient
 
@@ -40,7 +40,7 @@
             writer: Names the writer, None for none; called on the caller's thread.
             log: Takes a line when a writer did not answer.
         """
-        self._path = FLOW_LIST_PATH + member_id
+        self._path = SNAPSHOT_PATH + member_id
         self._writer = writer
         self._log = log
         self._endpoint: Endpoint | None = None
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -32,7 +32,7 @@
 
 
 # The name of an agent follows; its list is the body.
-FLOW_LIST_PATH = "/flow-list/"
+SNAPSHOT_PATH = "/flow-list/"
 # The query of a list that the writer wrote before, and nobody since.
 AGAIN_QUERY = "again"
 # Lists that came within this are written together.
