--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -21,8 +21,8 @@
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Owned
 from siskinshift.connections.placement import AgentPlacement
-from siskinshift.connections.snapshot_writer import AGAIN_QUERY
 from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
+from siskinshift.connections.snapshot_writer import UNCHANGED_QUERY
 from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
 from siskinshift.control.documents import parse_table
@@ -405,7 +405,7 @@
         if not 0 < len(member_id) <= MEMBER_ID_MAXIMUM:
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
-        is_again = request.query == AGAIN_QUERY
+        is_again = request.query == UNCHANGED_QUERY
         written = self._snapshot_writer.hand_over(
             member_id, request.body, is_again=is_again
         )
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -5,8 +5,8 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.snapshot_writer import AGAIN_QUERY
 from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
+from siskinshift.connections.snapshot_writer import UNCHANGED_QUERY
 from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.runtime.http_client import HttpClient
 
@@ -61,7 +61,7 @@
             return False
         client = self._client_to(endpoint)
         has_it = is_again and endpoint == self._endpoint
-        target = f"{self._path}?{AGAIN_QUERY}" if has_it else self._path
+        target = f"{self._path}?{UNCHANGED_QUERY}" if has_it else self._path
         try:
             answer = client.call("POST", target, value, timeout=ANSWER_SECONDS)
         except OSError as error:
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -34,7 +34,7 @@
 # The name of an agent follows; its list is the body.
 SNAPSHOT_PATH = "/flow-list/"
 # The query of a list that the writer wrote before, and nobody since.
-AGAIN_QUERY = "again"
+UNCHANGED_QUERY = "again"
 # Lists that came within this are written together.
 GATHER_SECONDS = 1.0
 # Until a list that was handed over is written: the time of gathering, and a call to a
