--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -405,9 +405,9 @@
         if not 0 < len(member_id) <= MEMBER_ID_MAXIMUM:
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
-        is_again = request.query == UNCHANGED_QUERY
+        is_unchanged = request.query == UNCHANGED_QUERY
         written = self._snapshot_writer.hand_over(
-            member_id, request.body, is_again=is_again
+            member_id, request.body, is_unchanged=is_unchanged
         )
         try:
             return HttpReply(200 if written.result(WRITE_TIMEOUT_SECONDS) else 503)
--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -130,10 +130,10 @@
         if is_urgent:
             self._write(value, now=now)
             return
-        is_again = value == self._written and not self._lease_id
-        if is_again and now < self._hand_again_at:
+        is_unchanged = value == self._written and not self._lease_id
+        if is_unchanged and now < self._hand_again_at:
             return
-        if self._hand_over(value, is_again):
+        if self._hand_over(value, is_unchanged):
             # The entry goes with the writer's lease from now on.
             self._lease_id = 0
             self._written = value
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -46,12 +46,12 @@
         self._endpoint: Endpoint | None = None
         self._client: HttpClient | None = None
 
-    def hand_over(self, value: bytes, is_again: bool) -> bool:
+    def hand_over(self, value: bytes, is_unchanged: bool) -> bool:
         """Hands the list over.
 
         Args:
             value: The list.
-            is_again: Whether a writer wrote the same list last.
+            is_unchanged: Whether a writer wrote the same list last.
 
         Returns:
             Whether it is written.
@@ -60,7 +60,7 @@
         if endpoint is None:
             return False
         client = self._client_to(endpoint)
-        has_it = is_again and endpoint == self._endpoint
+        has_it = is_unchanged and endpoint == self._endpoint
         target = f"{self._path}?{UNCHANGED_QUERY}" if has_it else self._path
         try:
             answer = client.call("POST", target, value, timeout=ANSWER_SECONDS)
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -81,7 +81,7 @@
     """A list that waits to be written."""
 
     value: bytes
-    is_again: bool
+    is_unchanged: bool
     written: Future[bool]
 
 
@@ -108,19 +108,19 @@
         self._is_over = False
 
     def hand_over(
-        self, member_id: str, value: bytes, *, is_again: bool = False
+        self, member_id: str, value: bytes, *, is_unchanged: bool = False
     ) -> Future[bool]:
         """Takes an agent's list; called on any thread.
 
         Args:
             member_id: The agent.
             value: Its list.
-            is_again: Whether this writer wrote the same list and nobody has since.
+            is_unchanged: Whether this writer wrote the same list and nobody has since.
 
         Returns:
             Whether it is written, once that is known.
         """
-        known = _Handed(value, is_again, Future())
+        known = _Handed(value, is_unchanged, Future())
         with self._lock:
             before = self._handed_by_member.pop(member_id, None)
             if not self._is_over:
@@ -191,7 +191,7 @@
         new = []
         for member_id, known in handed.items():
             is_same = self._written_by_member.get(member_id) == known.value
-            if known.is_again and is_same:
+            if known.is_unchanged and is_same:
                 known.written.set_result(True)
             else:
                 new.append(member_id)
