--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -406,7 +406,7 @@
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
         is_unchanged = request.query == UNCHANGED_QUERY
-        written = self._snapshot_writer.hand_over(
+        written = self._snapshot_writer.submit(
             member_id, request.body, is_unchanged=is_unchanged
         )
         try:
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -107,7 +107,7 @@
         self._look_at = 0.0
         self._is_over = False
 
-    def hand_over(
+    def submit(
         self, member_id: str, value: bytes, *, is_unchanged: bool = False
     ) -> Future[bool]:
         """Takes an agent's list; called on any thread.
