--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -106,7 +106,7 @@
             store=self.store,
             member_id=settings.node_id,
             flows=self._long_flows,
-            hand_over=self._snapshot_upload.hand_over,
+            upload=self._snapshot_upload.upload,
             log=self.log,
         )
         self._schedule = self.new_heartbeat_schedule(interval=STATUS_INTERVAL_SECONDS)
--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -69,7 +69,7 @@
         store: KeyValueStore,
         member_id: str,
         flows: Callable[[], FlowSnapshot],
-        hand_over: Callable[[bytes, bool], bool],
+        upload: Callable[[bytes, bool], bool],
         log: EventLog,
     ) -> None:
         """Prepares.
@@ -78,14 +78,14 @@
             store: The store.
             member_id: The agent.
             flows: Gives the long flows.
-            hand_over: Hands the list to a writer, and whether a writer wrote the same
+            upload: Hands the list to a writer, and whether a writer wrote the same
                 list last; says whether it is written.
             log: Takes a line when a write fails.
         """
         self._store = store
         self._key = snapshot_key(member_id)
         self._flows = flows
-        self._hand_over = hand_over
+        self._upload = upload
         self._log = log
         self._lease_id = 0
         self._renew_at = 0.0
@@ -133,7 +133,7 @@
         is_unchanged = value == self._written and not self._lease_id
         if is_unchanged and now < self._hand_again_at:
             return
-        if self._hand_over(value, is_unchanged):
+        if self._upload(value, is_unchanged):
             # The entry goes with the writer's lease from now on.
             self._lease_id = 0
             self._written = value
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -46,7 +46,7 @@
         self._endpoint: Endpoint | None = None
         self._client: HttpClient | None = None
 
-    def hand_over(self, value: bytes, is_unchanged: bool) -> bool:
+    def upload(self, value: bytes, is_unchanged: bool) -> bool:
         """Hands the list over.
 
         Args:
