--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -337,9 +337,9 @@
 
     def _fetch_if_newer(self, peer: Peer, now: float) -> None:
         is_due = self._catch_up.is_due(
-            told=peer.configuration_version,
+            announced=peer.configuration_version,
             held=self.configuration_version,
-            moved_at=self._follower.transfer.moved_at,
+            last_progress_at=self._follower.transfer.moved_at,
             is_failing=self._follower.is_failing,
             now=now,
         )
--- a/src/siskinshift/connections/configuration_catch_up.py
+++ b/src/siskinshift/connections/configuration_catch_up.py
@@ -23,36 +23,36 @@
 
     def __init__(self) -> None:
         """Starts without word of any version."""
-        self._newest_told = 0
+        self._newest_announced = 0
         self._behind_since = 0.0
 
     def is_due(
         self,
         *,
-        told: int,
+        announced: int,
         held: int,
-        moved_at: float,
+        last_progress_at: float,
         is_failing: bool = False,
         now: float,
     ) -> bool:
         """Takes a peer's word and decides whether its copy is needed now.
 
         Args:
-            told: Version that the peer holds.
+            announced: Version that the peer holds.
             held: Version in force here; 0 for none.
-            moved_at: When the newest part of the own reading came, seconds.
+            last_progress_at: When the newest part of the own reading came, seconds.
             is_failing: Whether the last own reading failed.
             now: Clock reading, seconds.
 
         Returns:
             Whether to fetch from this peer.
         """
-        if told <= held:
+        if announced <= held:
             return False
-        if self._newest_told <= held:
+        if self._newest_announced <= held:
             self._behind_since = now
-        self._newest_told = max(self._newest_told, told)
-        is_flowing = now - moved_at < FETCH_AFTER_SECONDS
+        self._newest_announced = max(self._newest_announced, announced)
+        is_flowing = now - last_progress_at < FETCH_AFTER_SECONDS
         patience = FETCH_AFTER_SECONDS
         if held == 0:
             # Nobody is served without a configuration.
