--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -195,7 +195,7 @@
         if peer.member.role is Role.BALANCER:
             self._fetch_if_newer(peer, now)
             return ()
-        actions: list[Action] = [*self._dissemination.on_agent_heard(peer)]
+        actions: list[Action] = [*self._dissemination.on_agent_message(peer)]
         if peer.member.state is MemberState.READY:
             actions += self._flows.retry_held(now=now)
         return actions
@@ -207,7 +207,7 @@
         if peer.member.role is not Role.AGENT:
             return ()
         return [
-            *self._dissemination.on_agent_heard(peer),
+            *self._dissemination.on_agent_message(peer),
             *self._flows.on_agent_restarted(peer, silent_since=last_seen_at, now=now),
         ]
 
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -68,7 +68,7 @@
             if self._key in _successors(ring, agent.key)
         ]
 
-    def on_agent_heard(self, agent: Peer) -> list[ToPeer]:
+    def on_agent_message(self, agent: Peer) -> list[ToPeer]:
         """Sends an agent what it may lack.
 
         Args:
