--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -184,7 +184,7 @@
             return self._flows.on_owned(message, now=now)
         if isinstance(message, Evacuations):
             self.evacuate(message, source=source[0])
-            return self._dissemination.answer(message, source)
+            return self._dissemination.reply_to(message, source)
         agent = self.fleet.peers_by_address.get(source)
         if agent is None or not isinstance(message, FlowVerdict):
             return ()
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -98,7 +98,7 @@
         message = encode_evacuations_message(self._register.current)
         return [ToPeer(peer.address, message) for peer in balancers]
 
-    def answer(
+    def reply_to(
         self, evacuations: Evacuations, address: tuple[str, int]
     ) -> list[ToPeer]:
         """Answers a peer whose evacuations are older.
