--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -1,8 +1,8 @@
-"""What a node knows of its peers, by which evidence and how old it is.
+"""Keeps the peers of a node and tracks which of them are reachable.
 
-Two sources tell of a peer: its entry in the store, and what it says itself. Its own
-words go first: the store may lose an entry without a word while the peer lives, and
-keeps that of a dead peer until the lease ends.
+A peer is known from its entry in the store and from its own messages. Its own messages
+take precedence: the store may silently lose the entry of a running peer, and keeps the
+entry of a dead one until its lease expires.
 """
 
 from __future__ import annotations
@@ -25,55 +25,55 @@
     from siskinshift.connections.peer_messages import Status
 
 
-# Members say something of themselves at most this often, seconds: opening packets to a
-# dead agent are retried elsewhere after tens of milliseconds anyway.
+# Shortest interval between two heartbeats to one peer. It need not be shorter, since
+# opening packets to a dead agent are retried elsewhere after tens of milliseconds.
 STATUS_INTERVAL_SECONDS = 0.5
-# Five words lost in a row are no chance on a link that loses one in forty.
-SILENT_AFTER_WORDS = 5
-# A word may come late by this without being lost.
+# A link that loses one message in forty practically never loses five in a row.
+UNRESPONSIVE_AFTER_INTERVALS = 5
+# Delay up to which a heartbeat counts as late rather than lost.
 DELAY_ALLOWANCE_SECONDS = 0.1
-# A peer that a node was told of is greeted until it speaks; it answers in milliseconds,
-# or within this when it starts as well or greetings are lost. The store shows entries
-# of the dead until their leases end, and flows that nobody holds are found out only
-# when all agents have spoken.
+# A newly discovered peer is sent hellos until its first message. It replies within
+# milliseconds, or within this time if it is starting as well or hellos are lost. The
+# store lists dead nodes until their leases expire, and a flow without an owner is
+# detected only after all agents have replied.
 REPLY_TIMEOUT_SECONDS = 1.5
-# The same for an agent that held no flow, by its last word, and could take none. Two
-# questions fit in. Instances whose upstreams were taken away come back for a moment
-# after a loss of power, and go without a word.
-IDLE_ANSWER_SECONDS = 0.2
-# Pause between two greetings of one peer: the first one may be lost on a full link, and
-# the peer would not know of this node until it reads the store.
-GREET_AGAIN_SECONDS = 0.25
-# While the store is away at a node's start, peers make themselves known within this, or
-# within the time that the most seldom of them speak.
-COMPLETE_AFTER_SECONDS = 2.0
-# A peer that is neither registered nor heard of for this long is forgotten. Entries
-# that lapsed with the store away are back within two seconds of its return.
-FORGET_AFTER_SECONDS = 6.0
+# The same for an agent that held no flow and could accept none according to its last
+# message; long enough for two queries. After a power loss, instances whose upstreams
+# were removed come back briefly and then disappear without a message.
+IDLE_REPLY_TIMEOUT_SECONDS = 0.2
+# The first hello may be lost on a saturated link, and the peer would not discover this
+# node until it reads the store.
+HELLO_INTERVAL_SECONDS = 0.25
+# Time within which peers announce themselves to a node that starts without the store;
+# longer if the heartbeat interval of one of them is longer.
+DISCOVERY_TIMEOUT_SECONDS = 2.0
+# A peer without an entry and without messages is removed after this time. Entries that
+# expired during an outage of the store are back within two seconds of its return.
+REMOVE_AFTER_SECONDS = 6.0
 NEVER = float("-inf")
 NO_LOAD = Load()
 
 
 @define(eq=False)
 class Peer:
-    """A member with the evidence for it.
+    """A member with the state of the communication with it.
 
     Attributes:
-        member: Its newest record.
-        address: Where its datagrams go.
-        last_seen_at: When it last said something itself, seconds.
-        discovered_at: When it was first told of, or told of as restarted, seconds.
-        registered_at: When the store last showed its entry, seconds.
-        is_registered: Whether it may have an entry: the newest reading of the store
-            shows it, or it has spoken since.
-        load: Its newest load.
-        flows_since_load: New flows sent to it since that load was told.
+        member: Newest record of the member.
+        address: Destination of datagrams to the peer.
+        last_seen_at: Time of its last message, seconds.
+        discovered_at: Time at which it, or its restart, was first discovered, seconds.
+        registered_at: Time at which its entry was last read from the store, seconds.
+        is_registered: Whether it may have an entry: the newest read of the store
+            contained it, or it has sent a message since.
+        load: Newest load that it reported.
+        flows_since_load: New flows sent to it since it reported that load.
         configuration_version: Newest configuration that it holds.
-        speaks_within: Seconds within which it speaks again, by its own word.
-        asked_at: When it was first asked something that it has not answered, seconds;
-            never if it has spoken since.
-        unanswered_openings: Opening packets in a row that it did not answer.
-        key: Hash of its member id, for the choice of agents by a flow's hash.
+        next_message_within: Seconds until its next heartbeat, as it announced.
+        queried_at: Time of the first query that it has not answered, seconds; infinite
+            if it has sent a message since.
+        unanswered_openings: Consecutive opening packets that it did not answer.
+        key: Hash of its member id, used to choose agents by a flow's hash.
     """
 
     member: Member
@@ -85,8 +85,8 @@
     load: Load = NO_LOAD
     flows_since_load: int = 0
     configuration_version: int = 0
-    speaks_within: float = STATUS_INTERVAL_SECONDS
-    asked_at: float = float("inf")
+    next_message_within: float = STATUS_INTERVAL_SECONDS
+    queried_at: float = float("inf")
     unanswered_openings: int = 0
     key: int = 0
 
@@ -94,31 +94,34 @@
         self.key = xxhash.xxh3_64_intdigest(self.member.member_id.encode())
 
     @property
-    def silent_after(self) -> float:
-        """Seconds without a word after which it counts as silent."""
-        return SILENT_AFTER_WORDS * self.speaks_within + DELAY_ALLOWANCE_SECONDS
+    def unresponsive_after(self) -> float:
+        """Seconds without a message after which it counts as unresponsive."""
+        return (
+            UNRESPONSIVE_AFTER_INTERVALS * self.next_message_within
+            + DELAY_ALLOWANCE_SECONDS
+        )
 
     @property
     def was_idle(self) -> bool:
-        """Whether it held no flow for certain, and could take none, when it spoke."""
+        """Whether, by its last message, it surely held no flow and accepted none."""
         is_open = self.member.state is MemberState.READY
         return self.load.is_certain and not self.load.flows and not is_open
 
     def is_unresponsive(self, *, now: float) -> bool:
-        """Says whether the peer should have spoken by now.
+        """Returns whether the peer has missed the timeout for its next message.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether it has not spoken lately, or not at all since it was told of, or
-            not since it was asked.
+            Whether its heartbeats are missing, or it sent no message after its
+            discovery, or it did not answer a query in time.
         """
-        patience = IDLE_ANSWER_SECONDS if self.was_idle else REPLY_TIMEOUT_SECONDS
-        if now - self.asked_at > patience:
+        timeout = IDLE_REPLY_TIMEOUT_SECONDS if self.was_idle else REPLY_TIMEOUT_SECONDS
+        if now - self.queried_at > timeout:
             return True
         if self.last_seen_at >= self.discovered_at:
-            return now - self.last_seen_at > self.silent_after
+            return now - self.last_seen_at > self.unresponsive_after
         return now - self.discovered_at > REPLY_TIMEOUT_SECONDS
 
 
@@ -127,76 +130,77 @@
 
     Attributes:
         peers_by_id: All known peers.
-        peers_by_address: The same by where their datagrams come from.
+        peers_by_address: The same peers by the source address of their datagrams.
     """
 
     def __init__(self, own: Member, *, now: float) -> None:
-        """Knows nobody yet.
+        """Initializes a fleet without peers.
 
         Args:
-            own: The node itself; it is no peer of its own.
+            own: Record of the node itself, which is not a peer.
             now: Clock reading, seconds.
         """
         self._own = own
-        self._began_at = now
-        self._knows_all = False
+        self._started_at = now
+        self._is_complete = False
         self.peers_by_id: dict[str, Peer] = {}
         self.peers_by_address: dict[tuple[str, int], Peer] = {}
         self._agents_by_class: dict[str, list[Peer]] = {}
 
     def is_complete(self, *, now: float) -> bool:
-        """Says whether a peer that is not known can be taken not to exist.
+        """Returns whether a member that is not a known peer does not exist.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether the store was read, or a peer that knows all has named them all, or
-            peers had the time to make themselves known.
+            Whether the store was read, or a peer with a complete list has sent it, or
+            the time within which peers announce themselves has passed.
         """
-        if self._knows_all:
+        if self._is_complete:
             return True
-        pauses = (peer.speaks_within for peer in self.peers_by_id.values())
-        allowed = max(
-            COMPLETE_AFTER_SECONDS, max(pauses, default=0.0) + DELAY_ALLOWANCE_SECONDS
+        intervals = (peer.next_message_within for peer in self.peers_by_id.values())
+        timeout = max(
+            DISCOVERY_TIMEOUT_SECONDS,
+            max(intervals, default=0.0) + DELAY_ALLOWANCE_SECONDS,
         )
-        self._knows_all = now - self._began_at >= allowed
-        return self._knows_all
+        self._is_complete = now - self._started_at >= timeout
+        return self._is_complete
 
-    def complete(self) -> None:
-        """Takes note that all peers are known."""
-        self._knows_all = True
+    def mark_complete(self) -> None:
+        """Records that all peers are known."""
+        self._is_complete = True
 
     def agents_of(self, service_id: str) -> list[Peer]:
-        """Lists the agents beside upstreams of a service.
+        """Returns the agents whose upstreams serve a service.
 
         Args:
             service_id: The service.
 
         Returns:
-            Its agents in any state.
+            Its agents, in any state.
         """
         return self._agents_by_class.get(service_id, [])
 
     def agents(self) -> list[Peer]:
-        """Lists all agents."""
+        """Returns all agents."""
         return [p for p in self.peers_by_id.values() if p.member.role is Role.AGENT]
 
     def balancers(self) -> list[Peer]:
-        """Lists all other balancers, or all balancers for an agent."""
+        """Returns all balancers except the node itself."""
         return [p for p in self.peers_by_id.values() if p.member.role is Role.BALANCER]
 
     def handle_status(self, status: Status, *, now: float) -> Peer | None:
-        """Takes a member's own words.
+        """Handles a status that a member sent of itself.
 
         Args:
-            status: Its words.
+            status: The status.
             now: Clock reading, seconds.
 
         Returns:
-            The peer; None for words of the node itself.
+            The peer; None for a status of the node itself.
         """
-        peer = self._merge(status.member, now=now, is_own_word=True)
+        peer = self._merge(status.member, now=now, is_from_member=True)
         if peer is None:
             return None
         if status.member.state is MemberState.GONE:
@@ -207,77 +211,78 @@
         self.update_load(peer, status.load)
         return peer
 
-    def handle_alive(self, peer: Peer, words: Alive, *, now: float) -> bool:
-        """Takes a peer's word that it lives.
+    def handle_alive(self, peer: Peer, message: Alive, *, now: float) -> bool:
+        """Handles a heartbeat of a peer.
 
         Args:
             peer: The peer.
-            words: Its word.
+            message: The heartbeat.
             now: Clock reading, seconds.
 
         Returns:
-            Whether the record that is known here is its present one.
+            Whether the heartbeat refers to the record that is known here. Otherwise it
+            is ignored.
         """
         known = (peer.member.incarnation, peer.member.version)
-        if known != (words.incarnation, words.version):
+        if known != (message.incarnation, message.version):
             return False
-        peer.configuration_version = words.configuration_version
-        peer.speaks_within = max(words.next_within, STATUS_INTERVAL_SECONDS)
+        peer.configuration_version = message.configuration_version
+        peer.next_message_within = max(message.next_within, STATUS_INTERVAL_SECONDS)
         self.record_message(peer, now=now)
-        self.update_load(peer, words.load)
+        self.update_load(peer, message.load)
         return True
 
     def update_load(self, peer: Peer, load: Load) -> None:
-        """Takes an agent's load.
+        """Updates the load of an agent.
 
         Args:
             peer: The agent.
-            load: Its load.
+            load: The reported load.
         """
         peer.load = load
         peer.flows_since_load = 0
 
     def record_message(self, peer: Peer, *, now: float) -> None:
-        """Takes note of any other message of a peer.
+        """Records that a message of a peer was received.
 
         Args:
             peer: The peer.
             now: Clock reading, seconds.
         """
         peer.last_seen_at = now
-        peer.asked_at = float("inf")
+        peer.queried_at = float("inf")
         peer.unanswered_openings = 0
         peer.is_registered = True
 
     def record_query(self, peer: Peer, *, now: float) -> None:
-        """Takes note that a peer owes an answer.
+        """Records that a peer was sent a query.
 
-        Guards against callers that wait for a dead agent of another failure domain: by
-        its words it counts as silent only after seconds.
+        Without this, callers would wait for a dead agent of another failure domain:
+        its heartbeats are seconds apart, so their absence is detected too late.
 
         Args:
             peer: The peer.
             now: Clock reading, seconds.
         """
-        peer.asked_at = min(peer.asked_at, now)
+        peer.queried_at = min(peer.queried_at, now)
 
     def apply_registrations(
         self, members: Iterable[Member], *, now: float
     ) -> list[Peer]:
-        """Takes a whole reading of the store.
+        """Applies a complete read of the entries in the store.
 
         Args:
-            members: All entries.
+            members: Members of all entries.
             now: Clock reading, seconds.
 
         Returns:
-            Peers that were not known before.
+            Newly discovered peers.
         """
-        self._knows_all = True
+        self._is_complete = True
         known = set(self.peers_by_id)
         seen: set[str] = set()
         for member in members:
-            peer = self._merge(member, now=now, is_own_word=False)
+            peer = self._merge(member, now=now, is_from_member=False)
             if peer is None:
                 continue
             seen.add(member.member_id)
@@ -288,14 +293,14 @@
                 peer.is_registered = False
         return [self.peers_by_id[i] for i in sorted(seen - known)]
 
-    def unheard(self, *, now: float) -> list[Peer]:
-        """Lists peers that were told of lately and have not spoken since.
+    def unconfirmed(self, *, now: float) -> list[Peer]:
+        """Returns recently discovered peers that have sent no message since.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Who should be greeted again.
+            Peers that should be sent another hello.
         """
         return [
             peer
@@ -304,14 +309,14 @@
             and now - peer.discovered_at <= REPLY_TIMEOUT_SECONDS
         ]
 
-    def has_silent(self, *, now: float) -> bool:
-        """Says whether a peer is silent whose entry may have lapsed.
+    def has_unresponsive(self, *, now: float) -> bool:
+        """Returns whether a peer with an entry is unresponsive.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether the entries are worth a reading.
+            Whether the store should be read, since that entry may have expired.
         """
         return any(
             peer.is_registered and peer.is_unresponsive(now=now)
@@ -319,26 +324,28 @@
         )
 
     def remove_unresponsive(self, *, now: float) -> list[Peer]:
-        """Forgets peers for which nothing speaks any more.
+        """Removes unresponsive peers that have no entry in the store.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Who was forgotten.
+            The removed peers.
         """
         gone = [
             peer
             for peer in self.peers_by_id.values()
             if not peer.is_registered
             and now - max(peer.last_seen_at, peer.registered_at)
-            > max(FORGET_AFTER_SECONDS, peer.silent_after)
+            > max(REMOVE_AFTER_SECONDS, peer.unresponsive_after)
         ]
         for peer in gone:
             self._remove(peer)
         return gone
 
-    def _merge(self, member: Member, *, now: float, is_own_word: bool) -> Peer | None:
+    def _merge(
+        self, member: Member, *, now: float, is_from_member: bool
+    ) -> Peer | None:
         if member.member_id == self._own.member_id:
             return None
         peer = self.peers_by_id.get(member.member_id)
@@ -349,18 +356,18 @@
             self.peers_by_address[peer.address] = peer
             self._index()
             return peer
-        if not _replaces(member, peer.member, is_own_word=is_own_word):
+        if not _replaces(member, peer.member, is_from_member=is_from_member):
             return peer
         if member.incarnation != peer.member.incarnation:
             peer.discovered_at = now
-        moved = peer.member.data != member.data
-        reclassed = peer.member.upstream_class != member.upstream_class
+        has_moved = peer.member.data != member.data
+        has_changed_service = peer.member.upstream_class != member.upstream_class
         peer.member = member
-        if moved:
+        if has_moved:
             self.peers_by_address.pop(peer.address, None)
             peer.address = (member.data.host, member.data.port)
             self.peers_by_address[peer.address] = peer
-        if reclassed:
+        if has_changed_service:
             self._index()
         return peer
 
@@ -379,9 +386,9 @@
                 self._agents_by_class.setdefault(service_id, []).append(peer)
 
 
-def _replaces(new: Member, old: Member, *, is_own_word: bool) -> bool:
+def _replaces(new: Member, old: Member, *, is_from_member: bool) -> bool:
     if new.incarnation == old.incarnation:
         return new.version > old.version
-    # Incarnations are drawn from the time of day, which jumps: a restarted member
-    # may look older than before. What it says itself is believed all the same.
-    return is_own_word or new.incarnation > old.incarnation
+    # Incarnations come from the wall clock, which may jump back, so a restarted member
+    # may have a lower one than before. Its own messages are applied all the same.
+    return is_from_member or new.incarnation > old.incarnation
--- a/src/siskinshift/connections/member_documents.py
+++ b/src/siskinshift/connections/member_documents.py
@@ -1,4 +1,4 @@
-"""A member's record as a JSON object, in the store and between nodes."""
+"""Encodes a member's record as a JSON object for the store and for peers."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
 from siskinshift.messages.core import Role
 
 
-PORT_MAXIMUM = 65535
-# Incarnation, version and configuration travel in packed messages of this width.
-INCARNATION_MAXIMUM = (1 << 53) - 1
-VERSION_MAXIMUM = (1 << 32) - 1
-# No upstream runs more requests at once; the choice among agents divides by this. A
-# heartbeat with more is refused too, or peers would refuse the agent's record.
+MAX_PORT = 65535
+# Incarnation, version and configuration version are sent in binary fields of this
+# width.
+MAX_INCARNATION = (1 << 53) - 1
+MAX_VERSION = (1 << 32) - 1
+# No upstream runs more requests at once, and the choice among agents divides by the
+# slots. Heartbeats with more are refused too, since peers would refuse the agent's
+# record.
 MAX_SLOTS = 10_000
-WEIGHT_MAXIMUM = 1_000_000
+MAX_WEIGHT = 1_000_000
 
 ChoiceT = TypeVar("ChoiceT", bound=StrEnum)
 
 
 def member_document(member: Member) -> dict[str, str | int]:
-    """Turns a member's record into a JSON object, for peers and for the store.
+    """Encodes a member's record for peers and for the store.
 
     Args:
         member: The record.
 
     Returns:
-        The object.
+        A JSON object.
     """
     return {
         "member_id": member.member_id,
@@ -54,36 +56,36 @@
 
 
 def member_from_document(document: dict[str, Any]) -> Member:
-    """Reads a member's record.
+    """Decodes a member's record.
 
-    Guards against records of other writers. A port of 99999 raised in each send to
-    it, which ended the turn of all timers of the node once a second; no slots raised
-    in each choice among the service's agents; a host that is a name would have been
-    looked up on the thread that forwards packets.
+    Checks all fields, since foreign writers may write records. A port of 99999 raised
+    an error in each send to it, which aborted all timers of the node once a second. A
+    record without slots raised an error in each choice among the service's agents. A
+    host name would be resolved on the thread that forwards packets.
 
     Args:
         document: A JSON object of `member_document`.
 
     Returns:
-        The record; messages and datagrams go to one port number.
+        The record; control messages and datagrams use the same port number.
 
     Raises:
         BadMessageError: A field is missing, of another type or out of range.
     """
-    port = whole_of(document, "port", minimum=1, maximum=PORT_MAXIMUM)
+    port = whole_of(document, "port", minimum=1, maximum=MAX_PORT)
     endpoint = Endpoint(_host_of(document), port)
     return Member(
         member_id=text_of(document, "member_id"),
         role=_choice_of(document, "role", Role),
-        incarnation=whole_of(document, "incarnation", maximum=INCARNATION_MAXIMUM),
-        version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
+        incarnation=whole_of(document, "incarnation", maximum=MAX_INCARNATION),
+        version=whole_of(document, "version", maximum=MAX_VERSION),
         state=_choice_of(document, "state", MemberState),
         region=text_of(document, "region", may_be_empty=True),
         failure_domain=text_of(document, "failure_domain", may_be_empty=True),
         control=endpoint,
         data=endpoint,
         upstream_class=text_of(document, "upstream_class", may_be_empty=True),
-        weight=whole_of(document, "weight", maximum=WEIGHT_MAXIMUM),
+        weight=whole_of(document, "weight", maximum=MAX_WEIGHT),
         slots=whole_of(document, "slots", minimum=1, maximum=MAX_SLOTS),
     )
 
@@ -93,7 +95,7 @@
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError) as error:
-        raise BadMessageError(f"host: {host!r}; allowed: an IP number") from error
+        raise BadMessageError(f"host: {host!r}; allowed: an IPv4 address") from error
     return host
 
 
@@ -102,4 +104,4 @@
     try:
         return choices(value)
     except ValueError as error:
-        raise BadMessageError(f"{name}: {value!r} is not known") from error
+        raise BadMessageError(f"{name}: unknown value {value!r}") from error
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -1,4 +1,4 @@
-"""What balancers and agents of connection flows have in common."""
+"""The base class of the nodes for connection flows: balancers and agents."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from siskinshift.connections.actions import ToCaller
 from siskinshift.connections.actions import ToPeer
 from siskinshift.connections.actions import ToUpstream
-from siskinshift.connections.fleet import GREET_AGAIN_SECONDS
+from siskinshift.connections.fleet import HELLO_INTERVAL_SECONDS
 from siskinshift.connections.fleet import Fleet
 from siskinshift.connections.heartbeat_schedule import HeartbeatSchedule
 from siskinshift.connections.peer_codec import decode_peer_message
@@ -59,27 +59,29 @@
     from siskinshift.runtime.http_server import HttpRequest
 
 
-# Seeds, and some of the peers, are asked until all are known, and once after the first
-# reading of the store. Not at once without one: seeds may be starting as well.
+# Seeds and some of the peers are queried until all peers are known, and once after the
+# first read of the store. Without a read the node waits for this long first, since the
+# seeds may be starting as well.
 SEED_WAIT_SECONDS = 0.3
-# Hosts that peers name later than this after a start are those of another writer.
-HOSTS_TAKEN_SECONDS = 5.0
+# Lists of hosts that arrive later than this after the start are ignored: the node has
+# stopped querying, so the sender is not one of the queried peers.
+ACCEPT_HOSTS_SECONDS = 5.0
 SEED_INTERVAL_SECONDS = 0.5
-ASKED_PEERS = 2
-FORGET_INTERVAL_SECONDS = 1.0
+QUERIED_PEERS = 2
+REMOVAL_INTERVAL_SECONDS = 1.0
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4"
 
 
 class ConnectionNode(LifeCycle):
-    """Sockets, peers, registration and life of a node on the platform."""
+    """Owns the sockets, peers, registration and life cycle of a node."""
 
     def __init__(self, settings: NodeSettings, *, role: Role) -> None:
-        """Binds the sockets.
+        """Initializes the node and binds its sockets.
 
         Args:
             settings: Settings of the node.
-            role: Balancer or agent.
+            role: Role of the node: balancer or agent.
         """
         super().__init__(name=settings.node_id)
         self.node_settings = settings
@@ -112,22 +114,22 @@
             store=self.store,
             own=lambda: self.member,
             prefix=self.members_prefix,
-            has_silent=lambda: self._has_silent,
-            on_members=self._take_registered,
+            has_unresponsive=lambda: self._has_unresponsive,
+            on_members=self._on_registered,
             random=self.random,
             log=self.log,
         )
         self._caller_port = settings.caller_packets.port
-        self._has_silent = False
-        self._ask_seeds_at = self.clock() + SEED_WAIT_SECONDS
-        self._has_asked = False
-        self._hosts_taken_until = self.clock() + HOSTS_TAKEN_SECONDS
-        self._forgot_at = float("-inf")
-        self._greeted_at = float("-inf")
+        self._has_unresponsive = False
+        self._query_seeds_at = self.clock() + SEED_WAIT_SECONDS
+        self._has_queried = False
+        self._accept_hosts_until = self.clock() + ACCEPT_HOSTS_SECONDS
+        self._removed_at = float("-inf")
+        self._hello_sent_at = float("-inf")
         self.is_leaving = False
 
     def on_start(self) -> None:
-        """Serves readiness, joins the others, starts the loop's handlers."""
+        """Starts the HTTP servers, the event handlers and the registration."""
         self.log.fact(
             "started", role=self.member.role.value, incarnation=self.member.incarnation
         )
@@ -136,17 +138,17 @@
         self.serve(own, self.handle_peer_request)
         if self.node_settings.readiness is not None:
             self.serve(self.node_settings.readiness, self._answer_readiness)
-        self.spawn(self._keep_registered)
+        self.spawn(self._maintain_registration)
 
     def add_sockets(self) -> None:
-        """Hands the node's sockets and timers to its loop."""
+        """Adds the node's sockets and timers to its event loop."""
         self.loop.add_socket(self.peer_socket, self._on_peer_datagram, is_last=True)
         self.loop.add_timer(self._tick)
 
     def run(self) -> None:
-        """Runs the loop on the calling thread until the application stops."""
-        signal.signal(signal.SIGTERM, lambda *_: self.loop.call(self._leave))
-        signal.signal(signal.SIGINT, lambda *_: self.loop.call(self._leave))
+        """Runs the event loop on the calling thread until the application stops."""
+        signal.signal(signal.SIGTERM, lambda *_: self.loop.call(self._on_stop_signal))
+        signal.signal(signal.SIGINT, lambda *_: self.loop.call(self._on_stop_signal))
         signal.signal(signal.SIGHUP, lambda *_: self.loop.call(self.on_reload))
         self.loop.run_until(self.stopping)
 
@@ -154,24 +156,24 @@
         """Serves HTTP at an endpoint.
 
         Args:
-            endpoint: Where.
-            handler: Answers the requests.
+            endpoint: Host and port to listen on.
+            handler: Handler of the requests.
         """
         server = HttpServer(self, endpoint.host, endpoint.port, handler, log=self.log)
         self.owns(server.close)
         server.start()
 
     def on_stop(self) -> None:
-        """Logs the end; threads see `stopping`."""
+        """Logs the stop; threads end when `stopping` is set."""
         self.log.fact("stopped", dropped_lines_total=self.log.dropped)
 
     def on_task_failed(self, error: BaseException) -> None:
-        """Logs the error; without the line a node that lost a task looks well."""
+        """Logs the error, since a node whose task failed still appears healthy."""
         self.log.fact("task failed", error=repr(error))
 
     def deregister(self) -> None:
-        """Takes the node's entry out of the store, so that nobody waits for it."""
-        self._registration.end()
+        """Removes the node's entry from the store, so that peers do not wait for it."""
+        self._registration.deregister()
 
     @property
     def is_ready(self) -> bool:
@@ -180,23 +182,23 @@
 
     @property
     def load(self) -> Load:
-        """The node's load for its peers."""
+        """The load that the node reports to its peers."""
         return Load()
 
     @property
     def configuration_version(self) -> int:
-        """Newest configuration that the node holds; 0 for none."""
+        """Version of the newest configuration that the node holds; 0 for none."""
         return 0
 
     def begin_shutdown(self) -> None:
-        """Hook: the process was told to end; sets `stopping` when it may."""
+        """Hook: begins the shutdown; sets `stopping` when the process may end."""
         raise NotImplementedError
 
     def on_reload(self) -> None:
-        """Reads the settings again; a file that is wrong changes nothing.
+        """Reloads the settings; an invalid file changes nothing.
 
-        Seeds are taken over. Names and addresses are those of the sockets and of the
-        node's entry: a change of them is told and needs a restart.
+        Only the seeds are applied. Names and addresses are in use by the sockets and
+        the node's entry, so a change of them is logged and needs a restart.
         """
         try:
             new = load_node_settings(settings_path())
@@ -214,21 +216,21 @@
     def on_message(
         self, message: PeerMessage, source: tuple[str, int], now: float
     ) -> Iterable[Action]:
-        """Hook: takes a message about a flow."""
+        """Hook: handles a message about a flow."""
         raise NotImplementedError
 
     def on_peer_status(self, peer: Peer, now: float) -> Iterable[Action]:
-        """Hook: a peer said something of itself."""
+        """Hook: handles a status or heartbeat of a peer."""
         return ()
 
     def on_peer_restarted(
         self, peer: Peer, last_seen_at: float, now: float
     ) -> Iterable[Action]:
-        """Hook: a known peer speaks as a new process."""
+        """Hook: handles the first status of a peer's new process."""
         return ()
 
     def on_due(self, now: float) -> float:
-        """Hook: does what is due; returns when it is due next."""
+        """Hook: runs the tasks that are due; returns the time of the next one."""
         raise NotImplementedError
 
     def change_member(self, *, state: MemberState, weight: int, slots: int) -> bool:
@@ -240,7 +242,7 @@
             slots: New slots.
 
         Returns:
-            Whether anything is different.
+            Whether the record has changed.
         """
         changed = attrs.evolve(self.member, state=state, weight=weight, slots=slots)
         if changed == self.member:
@@ -250,21 +252,21 @@
         return True
 
     def send_status(self, peers: Iterable[Peer], *, wants_status: bool = False) -> None:
-        """Tells peers of this node.
+        """Sends the node's status to peers.
 
         Args:
-            peers: Who is told.
-            wants_status: Whether they should answer.
+            peers: Peers that are sent the status.
+            wants_status: Whether they should reply with their own status.
         """
         datagram = self._own_status(wants_status=wants_status)
         for peer in peers:
             self.send_datagram(datagram, peer.address)
 
     def send_heartbeats(self, due: HeartbeatRound) -> None:
-        """Tells peers that this node is as they know it.
+        """Sends heartbeats, which confirm the record that the peers already hold.
 
         Args:
-            due: Who is told, and when they are told again.
+            due: Peers of this round, and the time until their next heartbeat.
         """
         datagram = encode_alive(
             Alive(
@@ -279,16 +281,16 @@
             self.send_datagram(datagram, peer.address)
 
     def new_heartbeat_schedule(self, *, interval: float) -> HeartbeatSchedule:
-        """Makes a schedule of heartbeats to one kind of peers.
+        """Creates a schedule of heartbeats to peers of one role.
 
         Args:
-            interval: Seconds between two heartbeats to one peer while peers are few.
+            interval: Seconds between two heartbeats to one peer in a small fleet.
         """
         domain = self.member.failure_domain
         return HeartbeatSchedule(failure_domain=domain, interval=interval)
 
     def send_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Sends a message to a node; one that can't be sent counts as lost.
+        """Sends a message to a node; a failed send counts as a lost datagram.
 
         Args:
             datagram: The message.
@@ -300,10 +302,10 @@
             self.log.decision("send failed", address=address[0], error=str(error))
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Does what a decision asked for.
+        """Performs actions.
 
         Args:
-            actions: What to do.
+            actions: The actions.
         """
         for action in actions:
             if type(action) is ToPeer:
@@ -317,7 +319,7 @@
                 self.send_to_caller(action.flow, reset)
 
     def send_to_upstream(self, datagram: bytes) -> None:
-        """Hook: hands a packet to the upstream."""
+        """Hook: sends a packet to the upstream."""
         raise NotImplementedError
 
     def send_to_caller(self, flow: bytes, datagram: bytes) -> None:
@@ -369,113 +371,114 @@
         if status.wants_status:
             self.send_datagram(self._own_status(), source)
         if status.wants_members:
-            for known in self._discovery.for_peer(status.member, now=now):
+            for known in self._discovery.known_hosts_for(status.member, now=now):
                 self.send_datagram(encode_known_hosts(known), source)
         if before is not None and incarnation != status.member.incarnation:
             self.log.fact("peer restarted", peer=status.member.member_id)
             self.perform(self.on_peer_restarted(peer, last_seen_at, now))
         self.perform(self.on_peer_status(peer, now))
 
-    def _on_alive(self, words: Alive, source: tuple[str, int], now: float) -> None:
+    def _on_alive(self, message: Alive, source: tuple[str, int], now: float) -> None:
         peer = self.fleet.peers_by_address.get(source)
-        if peer is None or not self.fleet.handle_alive(peer, words, now=now):
-            # A peer that is not known, or not as it is now: its whole record is
-            # asked for.
+        if peer is None or not self.fleet.handle_alive(peer, message, now=now):
+            # The peer is unknown or its record here is outdated: request its full
+            # status.
             self.send_datagram(self._own_status(wants_status=True), source)
             return
         self.perform(self.on_peer_status(peer, now))
 
-    def _greet(self, peers: list[Peer]) -> None:
+    def _send_hello(self, peers: list[Peer]) -> None:
         for peer in peers:
             self.log.fact("peer found", peer=peer.member.member_id, source="others")
         self.send_status(peers, wants_status=True)
 
     @property
     def members_prefix(self) -> str:
-        """Prefix of the entries in the store that this node has to know."""
+        """Prefix of the store entries that this node has to read."""
         return MEMBERS_PREFIX
 
     def is_relevant_member(self, member: Member) -> bool:
-        """Whether this node has to know a member that it reads of."""
+        """Returns whether this node needs a member that it read from the store."""
         return True
 
-    def _take_registered(self, members: list[Member]) -> None:
-        wanted = [member for member in members if self.is_relevant_member(member)]
+    def _on_registered(self, members: list[Member]) -> None:
+        relevant = [member for member in members if self.is_relevant_member(member)]
 
-        def take() -> None:
-            self._greet(self.fleet.apply_registrations(wanted, now=self.clock()))
-            if not self._has_asked:
-                self._ask_seeds(self.clock())
+        def apply() -> None:
+            self._send_hello(self.fleet.apply_registrations(relevant, now=self.clock()))
+            if not self._has_queried:
+                self._query_seeds(self.clock())
 
-        self.loop.call(take)
+        self.loop.call(apply)
 
-    def _on_known_hosts(self, known: KnownHosts, teller: str, now: float) -> None:
-        if now > self._hosts_taken_until and self.fleet.is_complete(now=now):
-            # Nobody was asked any more.
+    def _on_known_hosts(self, known: KnownHosts, sender: str, now: float) -> None:
+        if now > self._accept_hosts_until and self.fleet.is_complete(now=now):
+            # No query is pending any more.
             return
-        if not self._discovery.told(known, teller, now=now):
-            self.log.decision("hosts refused", source=teller, hosts=len(known.hosts))
+        if not self._discovery.add_hosts(known, sender, now=now):
+            self.log.decision("hosts refused", source=sender, hosts=len(known.hosts))
             return
-        self._greet_hosts(now)
+        self._send_hello_to_hosts(now)
 
-    def _greet_hosts(self, now: float) -> None:
+    def _send_hello_to_hosts(self, now: float) -> None:
         datagram = self._own_status(wants_status=True)
-        for host in self._discovery.strangers(now=now):
+        for host in self._discovery.hosts_to_contact(now=now):
             self.send_datagram(datagram, (host, self.node_settings.peer_port))
 
     def _tick(self, now: float) -> float:
-        if now >= self._ask_seeds_at:
-            self._ask_seeds(now)
-        if now - self._greeted_at >= GREET_AGAIN_SECONDS:
-            self._greeted_at = now
-            self.send_status(self.fleet.unheard(now=now), wants_status=True)
-            self._greet_hosts(now)
-        if now - self._forgot_at >= FORGET_INTERVAL_SECONDS:
-            self._forgot_at = now
+        if now >= self._query_seeds_at:
+            self._query_seeds(now)
+        if now - self._hello_sent_at >= HELLO_INTERVAL_SECONDS:
+            self._hello_sent_at = now
+            self.send_status(self.fleet.unconfirmed(now=now), wants_status=True)
+            self._send_hello_to_hosts(now)
+        if now - self._removed_at >= REMOVAL_INTERVAL_SECONDS:
+            self._removed_at = now
             for peer in self.fleet.remove_unresponsive(now=now):
                 self.log.fact("peer forgotten", peer=peer.member.member_id)
-            self._has_silent = self.fleet.has_silent(now=now)
-        due = min(self._forgot_at + FORGET_INTERVAL_SECONDS, self.on_due(now))
-        due = min(due, self._greeted_at + GREET_AGAIN_SECONDS)
-        return min(due, self._ask_seeds_at)
-
-    def _ask_seeds(self, now: float) -> None:
-        """Asks seeds, and peers that were heard, for the others until all are known.
-
-        Guards against a start while the store is away: nodes would not find each
-        other until it is back, and a balancer would take agents that it does not know
-        for none. And against a start while the store has lost the entry of a node that
-        lives: its peers know it.
+            self._has_unresponsive = self.fleet.has_unresponsive(now=now)
+        due = min(self._removed_at + REMOVAL_INTERVAL_SECONDS, self.on_due(now))
+        due = min(due, self._hello_sent_at + HELLO_INTERVAL_SECONDS)
+        return min(due, self._query_seeds_at)
+
+    def _query_seeds(self, now: float) -> None:
+        """Queries seeds and some known peers for other hosts until all are known.
+
+        Without this, nodes that start during an outage of the store would not find each
+        other until it is back, and a balancer would treat agents that it has not
+        discovered as nonexistent. It also finds a running node whose entry the store
+        has lost, since the node's peers still list it.
         """
-        if self._discovery.are_complete(now=now):
-            self.fleet.complete()
-        if self._has_asked and self.fleet.is_complete(now=now):
-            self._ask_seeds_at = float("inf")
+        if self._discovery.is_finished(now=now):
+            self.fleet.mark_complete()
+        if self._has_queried and self.fleet.is_complete(now=now):
+            self._query_seeds_at = float("inf")
             return
-        self._has_asked = True
-        self._ask_seeds_at = now + SEED_INTERVAL_SECONDS
-        heard = [peer.address[0] for peer in self.fleet.balancers()]
-        asked = self.random.sample(heard, min(ASKED_PEERS, len(heard)))
-        # Seeds are the same for all nodes: once the store was read they are spared.
-        is_read = self.fleet.is_complete(now=now)
-        seeds = () if is_read else self.node_settings.seed_hosts
+        self._has_queried = True
+        self._query_seeds_at = now + SEED_INTERVAL_SECONDS
+        known_hosts = [peer.address[0] for peer in self.fleet.balancers()]
+        queried = self.random.sample(known_hosts, min(QUERIED_PEERS, len(known_hosts)))
+        # All nodes have the same seeds, so no more load is put on them once all peers
+        # are known, as after a read of the store.
+        has_all_peers = self.fleet.is_complete(now=now)
+        seeds = () if has_all_peers else self.node_settings.seed_hosts
         datagram = self._own_status(wants_status=True, wants_members=True)
-        for host in {*seeds, *asked}:
+        for host in {*seeds, *queried}:
             if host != self.node_settings.host:
                 self.send_datagram(datagram, (host, self.node_settings.peer_port))
 
-    def _keep_registered(self) -> None:
+    def _maintain_registration(self) -> None:
         while not self.stopping.is_set():
             self.stopping.wait(self._registration.step(now=self.clock()))
 
     def handle_peer_request(self, request: HttpRequest) -> HttpReply:
-        """Answers calls of peers and of whoever collects metrics.
+        """Handles HTTP requests of peers and of the metrics collector.
 
         Args:
-            request: The call.
+            request: The request.
 
         Returns:
-            The answer.
+            The response.
         """
         if request.path != METRICS_PATH:
             return HttpReply(404)
@@ -492,7 +495,7 @@
             return HttpReply(404)
         return HttpReply(200 if self.is_ready else 503)
 
-    def _leave(self) -> None:
+    def _on_stop_signal(self) -> None:
         if self.is_leaving:
             return
         self.is_leaving = True
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -1,9 +1,9 @@
-"""How a node finds the others while the store is away at its start.
+"""Discovers the other nodes when the store is unavailable at a node's start.
 
-Pattern: all nodes of a domain restart during an outage of the store. Seeds of the
-settings, and whoever is heard, name the hosts that they know; the node greets those,
-and they say themselves what they are. Hosts take four bytes each, so that a seed with
-the link of the weakest instance can name hundreds to each of hundreds.
+All nodes of a failure domain may restart during an outage of the store. Seeds from the
+settings and known peers send the hosts that they know, the node sends a hello to each,
+and each replies with its status. A host takes four bytes, so that a seed on the slowest
+link can send hundreds of hosts to each of hundreds of nodes.
 """
 
 from __future__ import annotations
@@ -21,49 +21,50 @@
     from siskinshift.messages.core import Member
 
 
-# Four times the nodes of the largest fleet: more are not our own.
-HOSTS_MAXIMUM = 27_000
+# Four times the nodes of the largest fleet; more hosts can only come from a faulty or
+# foreign sender.
+MAX_HOSTS = 27_000
 
 
 class PeerDiscovery:
-    """The hosts that a node was told of, and those that it names to others."""
+    """Collects the hosts that peers list, and lists known hosts to peers."""
 
     def __init__(self, fleet: Fleet, *, own: Member) -> None:
-        """Begins without any.
+        """Initializes the discovery without hosts.
 
         Args:
-            fleet: The node's peers.
-            own: The node; all nodes use its port number.
+            fleet: Peers of the node.
+            own: Record of the node; all nodes use its port number.
         """
         self._fleet = fleet
         self._own = own
-        self._told_at_by_host: dict[str, float] = {}
-        self._hosts_by_teller: dict[str, set[str]] = {}
-        self._is_whole = False
+        self._received_at_by_host: dict[str, float] = {}
+        self._hosts_by_sender: dict[str, set[str]] = {}
+        self._has_complete_list = False
 
-    def told(self, known: KnownHosts, teller: str, *, now: float) -> bool:
-        """Takes a part of the hosts that a peer knows.
+    def add_hosts(self, known: KnownHosts, sender: str, *, now: float) -> bool:
+        """Adds one part of a peer's list of hosts.
 
         Args:
             known: The part.
-            teller: Host of the peer.
+            sender: Host of the peer.
             now: Clock reading, seconds.
 
         Returns:
-            Whether it was taken; not while more hosts are known than there can be.
+            Whether it was added; False if that would exceed the maximum of hosts.
         """
-        if len(self._told_at_by_host) + len(known.hosts) > HOSTS_MAXIMUM:
+        if len(self._received_at_by_host) + len(known.hosts) > MAX_HOSTS:
             return False
         for host in known.hosts:
-            self._told_at_by_host.setdefault(host, now)
-        told = self._hosts_by_teller.setdefault(teller, set())
-        told |= set(known.hosts)
-        if known.is_whole and len(told) >= known.count:
-            self._is_whole = True
+            self._received_at_by_host.setdefault(host, now)
+        hosts = self._hosts_by_sender.setdefault(sender, set())
+        hosts |= set(known.hosts)
+        if known.is_whole and len(hosts) >= known.count:
+            self._has_complete_list = True
         return True
 
-    def unheard(self, *, now: float) -> list[str]:
-        """Lists hosts that were told of lately and have not spoken since.
+    def unconfirmed_hosts(self, *, now: float) -> list[str]:
+        """Returns hosts that were listed recently and have sent no message since.
 
         Args:
             now: Clock reading, seconds.
@@ -73,49 +74,52 @@
         """
         return [
             host
-            for host, told_at in self._told_at_by_host.items()
-            if now - told_at <= REPLY_TIMEOUT_SECONDS and not self._has_spoken(host)
+            for host, received_at in self._received_at_by_host.items()
+            if now - received_at <= REPLY_TIMEOUT_SECONDS
+            and not self._has_responded(host)
         ]
 
-    def strangers(self, *, now: float) -> list[str]:
-        """Lists those of `unheard` that are no peers yet; peers are greeted anyway.
+    def hosts_to_contact(self, *, now: float) -> list[str]:
+        """Returns the unconfirmed hosts that are not known peers.
+
+        Known peers are sent hellos by the fleet's own retry.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Hosts to greet.
+            Hosts to send a hello.
         """
         known = self._fleet.peers_by_address
         port = self._own.data.port
-        return [h for h in self.unheard(now=now) if (h, port) not in known]
+        return [h for h in self.unconfirmed_hosts(now=now) if (h, port) not in known]
 
-    def are_complete(self, *, now: float) -> bool:
-        """Says whether the node knows all that it can know without the store.
+    def is_finished(self, *, now: float) -> bool:
+        """Returns whether discovery without the store has finished.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether a peer that knows all has named them all, and each has spoken or
-            had the time to.
+            Whether a peer with a complete list has sent it whole, and each listed host
+            has replied or missed its reply timeout.
         """
-        return self._is_whole and not self.unheard(now=now)
+        return self._has_complete_list and not self.unconfirmed_hosts(now=now)
 
-    def for_peer(self, asker: Member, *, now: float) -> list[KnownHosts]:
-        """Names the hosts that this node knows.
+    def known_hosts_for(self, requester: Member, *, now: float) -> list[KnownHosts]:
+        """Returns the hosts that this node knows, for a peer that requested them.
 
         Args:
-            asker: The peer; an agent needs to know balancers alone.
+            requester: The peer; an agent is sent only the balancers.
             now: Clock reading, seconds.
 
         Returns:
-            All but its own, in parts that fit into a datagram each.
+            All hosts except the peer's own, in parts of one datagram each.
         """
         peers = self._fleet.balancers()
-        if asker.role is not Role.AGENT:
+        if requester.role is not Role.AGENT:
             peers += self._fleet.agents()
-        hosts = sorted({peer.address[0] for peer in peers} - {asker.data.host})
+        hosts = sorted({peer.address[0] for peer in peers} - {requester.data.host})
         is_whole = self._fleet.is_complete(now=now)
         return [
             KnownHosts(
@@ -126,6 +130,6 @@
             for start in range(0, max(1, len(hosts)), KNOWN_HOSTS_MAXIMUM)
         ]
 
-    def _has_spoken(self, host: str) -> bool:
+    def _has_responded(self, host: str) -> bool:
         peer = self._fleet.peers_by_address.get((host, self._own.data.port))
         return peer is not None and peer.last_seen_at >= peer.discovered_at
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -1,13 +1,13 @@
-"""A node's entry in the store, by which nodes find each other at their start.
+"""Registers a node in the store, where starting nodes read the other members.
 
-The entry lives under a lease. While the store is away nodes go on with what they
-know; when it is back a lapsed entry is written again within the pause between two
-tries. The store may also take an entry away while its lease lives and say so to
-nobody: the node looks for its own now and then, and writes one that is missing again.
+The entry is bound to a lease. During an outage of the store, nodes continue with the
+members that they know; afterwards an expired entry is written again within the pause
+between two attempts. The store may also silently drop an entry whose lease is valid, so
+the node checks its own entry periodically and writes it again if it is missing.
 
-Members are read at the start, and again while one of them is silent, to learn whether
-its entry has lapsed. In a calm fleet nobody reads them: what a node reads would grow
-with the fleet, and new nodes make themselves known to all that they have read of.
+Members are read at the start, and again while one of them is unresponsive, to detect
+that its entry has expired. Otherwise they are not read, since the volume would grow
+with the fleet, and new nodes announce themselves to all members that they have read.
 """
 
 from __future__ import annotations
@@ -41,23 +41,25 @@
 
 
 MEMBERS_PREFIX = "siskinshift/members/"
-# A node that was killed comes back within seconds and replaces its entry; a longer life
-# keeps lost nodes in the list, and whoever starts waits for their word about flows.
+# A killed node restarts within seconds and replaces its entry. A longer lease would
+# keep lost nodes registered, and starting nodes would wait for their replies about
+# flows.
 LEASE_SECONDS = 6.0
-# As long again is left for more tries; a renewal costs a tenth of a call.
-RENEW_SECONDS = 3.0
-# How often the node looks for its own entry, or for the members that fell silent.
-READ_SECONDS = 6.0
-# Within the two seconds that an entry may be missing after the store's return.
-RETRY = Backoff(0.2, 0.8)
+# Leaves as long again for further attempts; a renewal costs a tenth of another request.
+RENEW_INTERVAL_SECONDS = 3.0
+# Interval at which the node checks its own entry and, while a member is unresponsive,
+# reads the members again.
+READ_INTERVAL_SECONDS = 6.0
+# An entry must be written again within two seconds of the store's recovery.
+RETRY_BACKOFF = Backoff(0.2, 0.8)
 
 
 def member_key(member_id: str, role: Role) -> str:
-    """Names the key of a member's entry.
+    """Returns the key of a member's entry.
 
     Args:
-        member_id: The member.
-        role: Its role; agents need to know balancers alone.
+        member_id: Id of the member.
+        role: Role of the member; a part of the key, since agents read only balancers.
 
     Returns:
         The key.
@@ -66,7 +68,7 @@
 
 
 def role_prefix(role: Role) -> str:
-    """Names the prefix of all entries of a role.
+    """Returns the prefix of all entries of a role.
 
     Args:
         role: The role.
@@ -78,37 +80,37 @@
 
 
 class MemberStore(Protocol):
-    """The calls of a store that registration needs; see KeyValueStore."""
+    """The operations of a store that registration needs; see KeyValueStore."""
 
     def get(self, key: str) -> Entry | None:
         """Reads one entry."""
 
     def get_cheaply(self, key: str) -> Entry | None:
-        """Reads one entry, seconds old."""
+        """Reads one entry, which may be seconds out of date."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix."""
 
     def list_prefix_cheaply(self, prefix: str) -> Snapshot:
-        """Reads all entries with a prefix, seconds old."""
+        """Reads all entries with a prefix, which may be seconds out of date."""
 
     def transact(
         self, compares: tuple[()], operations: tuple[Put, ...]
     ) -> TransactionResult:
-        """Writes."""
+        """Writes entries in one transaction."""
 
     def grant_lease(self, ttl: float) -> Lease:
-        """Makes a lease."""
+        """Grants a lease."""
 
     def keep_alive(self, lease_id: int) -> float:
-        """Prolongs a lease."""
+        """Renews a lease."""
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease."""
+        """Revokes a lease."""
 
 
 class Registration:
-    """Keeps the entry and reads the others'."""
+    """Maintains the node's entry and reads the entries of the other members."""
 
     def __init__(
         self,
@@ -116,40 +118,41 @@
         store: MemberStore,
         own: Callable[[], Member],
         prefix: str,
-        has_silent: Callable[[], bool],
+        has_unresponsive: Callable[[], bool],
         on_members: Callable[[list[Member]], object],
         random: Random,
         log: EventLog,
     ) -> None:
-        """Starts without an entry.
+        """Initializes the registration without an entry.
 
         Args:
             store: The store.
-            own: Gives the node's record.
-            prefix: Prefix of the entries that the node has to know.
-            has_silent: Says whether a member that may have an entry is silent.
-            on_members: Takes each reading of all those entries.
+            own: Returns the node's record.
+            prefix: Prefix of the entries that the node has to read.
+            has_unresponsive: Returns whether a member that may have an entry is
+                unresponsive.
+            on_members: Called with the members of each complete read.
             random: Source of the jitter.
-            log: Takes a line when the store is lost or regained.
+            log: Event log.
         """
         self._store = store
         self._own = own
         self._prefix = prefix
-        self._has_silent = has_silent
+        self._has_unresponsive = has_unresponsive
         self._on_members = on_members
         self._random = random
         self._log = log
         self._availability = StoreAvailability(
-            "store", retry=RETRY, random=random, log=log
+            "store", retry=RETRY_BACKOFF, random=random, log=log
         )
         self._lease_id = 0
-        self._unsure_lease_id = 0
+        self._uncertain_lease_id = 0
         self._renew_at = 0.0
         self._read_at = 0.0
-        self._has_fresh_reading = False
+        self._has_current_read = False
 
     def step(self, *, now: float) -> float:
-        """Does what is due; blocks for as long as the store's calls take.
+        """Runs the operations that are due; blocks while the store handles them.
 
         Args:
             now: Clock reading, seconds.
@@ -162,18 +165,18 @@
                 self._register(now=now)
             elif now >= self._renew_at:
                 self._renew(now=now)
-            if now >= self._read_at or not self._has_fresh_reading:
+            if now >= self._read_at or not self._has_current_read:
                 self._read(now=now)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
-            self._has_fresh_reading = False
+            self._has_current_read = False
             return self._availability.record_failure(error)
         self._availability.record_success()
         if not self._lease_id:
             return 0.0
         return max(0.0, min(self._renew_at, self._read_at) - now)
 
-    def end(self) -> None:
-        """Takes the entry away; one that can't be taken away lapses."""
+    def deregister(self) -> None:
+        """Removes the entry; if the store is unavailable, the entry expires."""
         if not self._lease_id:
             return
         try:
@@ -189,22 +192,24 @@
         try:
             self._store.transact((), (Put(key, value, lease_id),))
         except StoreOutcomeUnknownError:
-            self._unsure_lease_id = lease_id
+            self._uncertain_lease_id = lease_id
             raise
         self._lease_id = lease_id
-        self._renew_at = now + RENEW_SECONDS
-        # Whoever started while there was no entry knows nothing of this node.
-        self._has_fresh_reading = False
+        self._renew_at = now + RENEW_INTERVAL_SECONDS
+        # A node that started while there was no entry has not discovered this one; the
+        # read finds it.
+        self._has_current_read = False
         self._log.fact("registered", lease=lease_id)
 
     def _lease_for_entry(self) -> int:
-        """Gives the lease of a write whose answer was lost, if it lives, or a new one.
+        """Returns the lease of a write whose response was lost, or a new lease.
 
-        Guards against a write that the store does seconds after its answer was lost:
-        it would bind the entry to a lease that nobody prolongs. The entry would end
-        with that, and a balancer that starts then would not know this node.
+        The store may apply a write seconds after its response was lost. With a new
+        lease, that late write would bind the entry to the old lease, which is no longer
+        renewed. The entry would expire with it, and a starting balancer would not
+        discover this node.
         """
-        lease_id, self._unsure_lease_id = self._unsure_lease_id, 0
+        lease_id, self._uncertain_lease_id = self._uncertain_lease_id, 0
         if lease_id and self._store.keep_alive(lease_id) > 0:
             return lease_id
         return self._store.grant_lease(LEASE_SECONDS).lease_id
@@ -214,27 +219,28 @@
             self._log.fact("entry lapsed", lease=self._lease_id)
             self._lease_id = 0
             self._register(now=now)
-        self._renew_at = now + RENEW_SECONDS
+        self._renew_at = now + RENEW_INTERVAL_SECONDS
 
     def _read(self, *, now: float) -> None:
-        # The first reading after a start or an outage must show who registered before
-        # this node did: those it finds hear of it, the others find it themselves.
-        if not self._has_fresh_reading:
-            self._take(self._store.list_prefix(self._prefix))
-            self._has_fresh_reading = True
+        # The first read after a start or an outage must include all members that
+        # registered before this node: it announces itself to them, and later ones read
+        # its entry.
+        if not self._has_current_read:
+            self._handle_snapshot(self._store.list_prefix(self._prefix))
+            self._has_current_read = True
         else:
-            if self._has_silent():
-                self._take(self._store.list_prefix_cheaply(self._prefix))
-            self._look_for_own()
-        self._read_at = now + READ_SECONDS * self._random.uniform(0.8, 1.2)
+            if self._has_unresponsive():
+                self._handle_snapshot(self._store.list_prefix_cheaply(self._prefix))
+            self._check_own_entry()
+        self._read_at = now + READ_INTERVAL_SECONDS * self._random.uniform(0.8, 1.2)
 
-    def _take(self, snapshot: Snapshot) -> None:
+    def _handle_snapshot(self, snapshot: Snapshot) -> None:
         self._on_members(self._members_of(snapshot))
 
-    def _look_for_own(self) -> None:
+    def _check_own_entry(self) -> None:
         own = self._own()
         key = member_key(own.member_id, own.role)
-        # A cheap reading may be older than the entry.
+        # A cheap read may be older than the entry.
         if self._store.get_cheaply(key) is None and self._store.get(key) is None:
             self._log.fact("entry missing", lease=self._lease_id)
             self._lease_id = 0
@@ -247,8 +253,8 @@
                 if entry.key != member_key(member.member_id, member.role):
                     raise BadMessageError(f"member_id: {member.member_id!r}")
             except BadMessageError as error:
-                # Another writer's, or another version's of the product, which finds
-                # this node by its own ways. The other entries hold.
+                # Written by a foreign writer or by another version, whose node sends
+                # its own messages to this one. The other entries are valid.
                 self._log.decision(
                     "entry skipped",
                     reason="unreadable",
