--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -1,10 +1,10 @@
-"""A short list of an agent's long flows in the store, which outlives the instance.
+"""Stores a snapshot of an agent's long flows, which outlives the instance.
 
-Guards against callers that find out too late: when an instance loses power its
-upstream and the agent's memory go together, and nobody is left who knows which callers
-still hold flows to it. An idle caller would learn of it by its next request, and one
-that may not be repeated is lost then. With the list the restarted agent asks the new
-upstream about each flow, and what comes back is reset before the caller needs it.
+When an instance loses power, the upstream and the agent's memory are lost together, and
+no process can tell which callers still hold flows to it. An idle caller would detect
+the loss only with its next request, and a request that may not be repeated would be
+lost. With the snapshot, the restarted agent probes the new upstream with each flow, so
+that callers of lost flows are reset before their next request.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 
 SNAPSHOT_PREFIX = "siskinshift/flows/"
-# A flow opened after the last write is not in the list.
+# A flow opened after the last write is not in the snapshot.
 UPLOAD_INTERVAL_SECONDS = 2.0
-# Pause between two writes of an agent that finds no writer: a call for each agent.
-WRITE_SECONDS = 4.0
-# Longer than an instance is away without power in an ordinary failure.
+# Interval of an agent without a writer, which costs one request of each agent.
+WRITE_INTERVAL_SECONDS = 4.0
+# Longer than a usual power loss of an instance.
 LEASE_SECONDS = 30.0
-RENEW_SECONDS = 9.0
-# 64 KB of a value of a megabyte; more flows than that are left out.
-FLOWS_MAXIMUM = 2000
-# A list that could not be read is tried again at this pace.
+RENEW_INTERVAL_SECONDS = 9.0
+# 64 KB, of a megabyte that a value may have; further flows are left out.
+MAX_FLOWS = 2000
+# Pause between two attempts to read the snapshot.
 READ_RETRY_SECONDS = 0.4
 _SIZE_BYTES = 2
-# A list that names its upstream's start begins with a size that no packet has, then the
-# length of the id, the start in Unix milliseconds (0 if untold) and the id.
+# A snapshot with the upstream's incarnation begins with a size that no packet has, then
+# the length of the id, the start in Unix milliseconds (0 if unknown) and the id.
 _NAMED = bytes(_SIZE_BYTES)
 _START_BYTES = 8
 _NAME_HEADER_BYTES = len(_NAMED) + 1 + _START_BYTES
-_ID_BYTES_MAXIMUM = 255
+_MAX_ID_BYTES = 255
 
 
 @frozen
@@ -52,8 +52,8 @@
     """An agent's long flows.
 
     Attributes:
-        packets: One repeatable packet of each, all of one size.
-        incarnation: The start of the upstream that held them; None if it is not known.
+        packets: One repeatable packet of each flow, all of the same size.
+        incarnation: Incarnation of the upstream that held them; None if unknown.
     """
 
     packets: tuple[bytes, ...] = ()
@@ -61,7 +61,7 @@
 
 
 class FlowSnapshotStore:
-    """Writes and reads the list of one agent."""
+    """Writes and reads the snapshot of one agent."""
 
     def __init__(
         self,
@@ -72,15 +72,16 @@
         upload: Callable[[bytes, bool], bool],
         log: EventLog,
     ) -> None:
-        """Prepares.
+        """Initializes the store of one agent's snapshot.
 
         Args:
             store: The store.
-            member_id: The agent.
-            flows: Gives the long flows.
-            upload: Hands the list to a writer, and whether a writer wrote the same
-                list last; says whether it is written.
-            log: Takes a line when a write fails.
+            member_id: Id of the agent.
+            flows: Returns the long flows.
+            upload: Uploads the snapshot to a writer; the second argument states whether
+                the last write was the same snapshot by a writer. Returns whether the
+                snapshot is written.
+            log: Event log.
         """
         self._store = store
         self._key = snapshot_key(member_id)
@@ -90,16 +91,17 @@
         self._lease_id = 0
         self._renew_at = 0.0
         self._write_at = 0.0
-        self._hand_again_at = 0.0
+        self._upload_again_at = 0.0
         self._written: bytes | None = None
         self._has_entry = False
 
     def load(self) -> FlowSnapshot | None:
-        """Reads the list of the process before this one.
+        """Reads the snapshot of the previous process.
 
         Returns:
-            The list, empty if there is none; None when the store does not answer: read
-            again, and write nothing before, since that would replace the list.
+            The snapshot, empty if there is none; None if the store is unavailable. The
+            caller then has to retry before it writes, since a write would replace the
+            snapshot.
         """
         try:
             entry = self._store.get(self._key)
@@ -110,69 +112,68 @@
         return decode_snapshot(entry.value) if entry else FlowSnapshot()
 
     def step(self, *, now: float, is_urgent: bool = False) -> None:
-        """Has the list written if it has changed, or its writer may have forgotten it.
+        """Has the snapshot written if it has changed or a renewal is due.
 
         Args:
             now: Clock reading, seconds.
-            is_urgent: Whether the agent writes it itself at once, without the time in
-                which a writer gathers lists.
+            is_urgent: Whether the agent writes it itself at once, without the delay of
+                a writer's batch.
         """
         try:
             value = encode_snapshot(self._flows())
         except TimeoutError:
-            # The instance stood still; the next step collects again.
+            # The instance was frozen; the next step collects the flows again.
             self._log.fact("flow list not collected")
             return
         if not value and not self._has_entry:
-            # No caller keeps a flow, and no list says otherwise: a lease would be made
-            # and kept for nothing.
+            # There is neither a flow nor an entry, so a lease would serve no purpose.
             return
         if is_urgent:
             self._write(value, now=now)
             return
         is_unchanged = value == self._written and not self._lease_id
-        if is_unchanged and now < self._hand_again_at:
+        if is_unchanged and now < self._upload_again_at:
             return
         if self._upload(value, is_unchanged):
-            # The entry goes with the writer's lease from now on.
+            # The entry is bound to the writer's lease from now on.
             self._lease_id = 0
             self._written = value
             self._has_entry = True
-            self._hand_again_at = now + RENEW_SECONDS
+            self._upload_again_at = now + RENEW_INTERVAL_SECONDS
         elif now >= self._write_at:
-            self._write_at = now + WRITE_SECONDS
+            self._write_at = now + WRITE_INTERVAL_SECONDS
             self._write(value, now=now)
 
     def _write(self, value: bytes, *, now: float) -> None:
         try:
-            self._keep_lease(now=now)
+            self._ensure_lease(now=now)
             if value != self._written:
                 put = Put(self._key, value, self._lease_id)
                 self._store.transact((), (put,))
                 self._written = value
                 self._has_entry = True
         except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
-            # The list may be old then; it is written again with the next step.
+            # The entry may be out of date; the next step writes it again.
             self._log.fact("flow list not written", error=str(error))
             self._lease_id = 0
             self._written = None
 
-    def _keep_lease(self, *, now: float) -> None:
+    def _ensure_lease(self, *, now: float) -> None:
         if self._lease_id and now >= self._renew_at:
             if self._store.keep_alive(self._lease_id) <= 0:
                 self._lease_id = 0
-            self._renew_at = now + RENEW_SECONDS
+            self._renew_at = now + RENEW_INTERVAL_SECONDS
         if not self._lease_id:
             self._lease_id = self._store.grant_lease(LEASE_SECONDS).lease_id
-            self._renew_at = now + RENEW_SECONDS
+            self._renew_at = now + RENEW_INTERVAL_SECONDS
             self._written = None
 
 
 def snapshot_key(member_id: str) -> str:
-    """Names the key of an agent's list.
+    """Returns the key of an agent's snapshot.
 
     Args:
-        member_id: The agent.
+        member_id: Id of the agent.
 
     Returns:
         The key.
@@ -181,30 +182,30 @@
 
 
 def encode_snapshot(flows: FlowSnapshot) -> bytes:
-    """Packs a list.
+    """Encodes a snapshot.
 
     Args:
-        flows: The list; flows beyond the maximum are left out.
+        flows: The snapshot; flows beyond the maximum are left out.
 
     Returns:
-        The start of the upstream, the packets' size and the packets; nothing for a list
-        without flows.
+        The upstream's incarnation, the packets' size and the packets; empty for a
+        snapshot without flows.
     """
     if not flows.packets:
         return b""
-    packets = flows.packets[:FLOWS_MAXIMUM]
+    packets = flows.packets[:MAX_FLOWS]
     size = len(packets[0]).to_bytes(_SIZE_BYTES, "big")
     return _encode_incarnation(flows.incarnation) + size + b"".join(packets)
 
 
 def decode_snapshot(value: bytes) -> FlowSnapshot:
-    """Unpacks what `encode_snapshot` wrote, also by an older version.
+    """Decodes a snapshot of this or an older version of `encode_snapshot`.
 
     Args:
         value: The bytes.
 
     Returns:
-        The list; an empty one when it can't be read.
+        The snapshot; an empty one if the bytes are invalid.
     """
     try:
         incarnation, body = _decode_incarnation(value)
@@ -220,16 +221,16 @@
 
 def _encode_incarnation(incarnation: Incarnation | None) -> bytes:
     name = incarnation.upstream_id.encode() if incarnation else b""
-    if incarnation is None or not 0 < len(name) <= _ID_BYTES_MAXIMUM:
+    if incarnation is None or not 0 < len(name) <= _MAX_ID_BYTES:
         return b""
-    started = (incarnation.started_ms or 0).to_bytes(_START_BYTES, "big")
-    return _NAMED + bytes((len(name),)) + started + name
+    started_ms = (incarnation.started_ms or 0).to_bytes(_START_BYTES, "big")
+    return _NAMED + bytes((len(name),)) + started_ms + name
 
 
 def _decode_incarnation(value: bytes) -> tuple[Incarnation | None, bytes]:
     if not value.startswith(_NAMED):
         return None, value
     end = _NAME_HEADER_BYTES + value[len(_NAMED)]
-    started = int.from_bytes(value[len(_NAMED) + 1 : _NAME_HEADER_BYTES], "big")
+    started_ms = int.from_bytes(value[len(_NAMED) + 1 : _NAME_HEADER_BYTES], "big")
     name = value[_NAME_HEADER_BYTES:end].decode()
-    return Incarnation(name, started or None), value[end:]
+    return Incarnation(name, started_ms or None), value[end:]
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -1,4 +1,4 @@
-"""Hands an agent's list of long flows to the balancer that keeps it."""
+"""Uploads an agent's flow snapshot to the balancer that writes it."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 CONNECT_SECONDS = 0.3
-# A writer answers within its own time and the way there and back.
-ANSWER_SECONDS = WRITE_TIMEOUT_SECONDS + 0.5
+# The writer's own timeout and the round trip.
+RESPONSE_TIMEOUT_SECONDS = WRITE_TIMEOUT_SECONDS + 0.5
 
 
 class SnapshotUpload:
-    """The connection of one agent to its writer, one call at a time."""
+    """The connection of one agent to its writer, with one request at a time."""
 
     def __init__(
         self,
@@ -33,12 +33,13 @@
         writer: Callable[[], Endpoint | None],
         log: EventLog,
     ) -> None:
-        """Connects with the first call.
+        """Initializes the upload; the first request opens the connection.
 
         Args:
-            member_id: The agent.
-            writer: Names the writer, None for none; called on the caller's thread.
-            log: Takes a line when a writer did not answer.
+            member_id: Id of the agent.
+            writer: Returns the endpoint of the writer, None if there is none; called on
+                the thread of `upload`.
+            log: Event log.
         """
         self._path = SNAPSHOT_PATH + member_id
         self._writer = writer
@@ -47,36 +48,38 @@
         self._client: HttpClient | None = None
 
     def upload(self, value: bytes, is_unchanged: bool) -> bool:
-        """Hands the list over.
+        """Uploads the snapshot.
 
         Args:
-            value: The list.
-            is_unchanged: Whether a writer wrote the same list last.
+            value: The encoded snapshot.
+            is_unchanged: Whether the last write was the same snapshot by a writer.
 
         Returns:
-            Whether it is written.
+            Whether the snapshot is written.
         """
         endpoint = self._writer()
         if endpoint is None:
             return False
         client = self._client_to(endpoint)
-        has_it = is_unchanged and endpoint == self._endpoint
-        target = f"{self._path}?{UNCHANGED_QUERY}" if has_it else self._path
+        is_stored = is_unchanged and endpoint == self._endpoint
+        target = f"{self._path}?{UNCHANGED_QUERY}" if is_stored else self._path
         try:
-            answer = client.call("POST", target, value, timeout=ANSWER_SECONDS)
+            response = client.call(
+                "POST", target, value, timeout=RESPONSE_TIMEOUT_SECONDS
+            )
         except OSError as error:
-            # The agent writes it itself; the next step looks for a writer again.
+            # The agent writes it itself; the next step chooses a writer again.
             self._log.decision(
                 "flow list not handed over", writer=endpoint.host, error=str(error)
             )
             self._endpoint = None
             return False
-        is_written = answer.status == HTTPStatus.OK
+        is_written = response.status == HTTPStatus.OK
         self._endpoint = endpoint if is_written else None
         return is_written
 
     def close(self) -> None:
-        """Ends the connection, and a call that is under way."""
+        """Closes the connection and aborts a request in progress."""
         if self._client is not None:
             self._client.close()
 
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -1,9 +1,9 @@
-"""Writes the lists of long flows of many agents in one call.
+"""Writes the flow snapshots of many agents in one transaction.
 
-Pattern of load: a hundred agents, each with a list that changes every second. Writes of
-each of them outweigh all other calls of a calm fleet to the store. A balancer of the
-agents' failure domain takes the lists by HTTP and writes up to 32 in one transaction,
-under one lease. An agent that finds no writer, or gets no answer, writes its own.
+With a hundred agents whose snapshots change every second, separate writes would
+outnumber all other requests of an idle fleet to the store. A balancer of the agents'
+failure domain receives the snapshots over HTTP and writes up to 32 in one transaction,
+under one lease. An agent without a writer, or without a response, writes its own.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from attrs import frozen
 
-from siskinshift.connections.flow_snapshot import RENEW_SECONDS
+from siskinshift.connections.flow_snapshot import RENEW_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import snapshot_key
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
@@ -31,54 +31,54 @@
     from siskinshift.observability.event_log import EventLog
 
 
-# The name of an agent follows; its list is the body.
+# Followed by the name of an agent; the body of the request is its snapshot.
 SNAPSHOT_PATH = "/flow-list/"
-# The query of a list that the writer wrote before, and nobody since.
+# Query string of a snapshot whose last write was the same one by this writer.
 UNCHANGED_QUERY = "again"
-# Lists that came within this are written together.
-GATHER_SECONDS = 1.0
-# Until a list that was handed over is written: the time of gathering, and a call to a
-# slow store.
+# Snapshots that arrive within this time are written together.
+BATCH_SECONDS = 1.0
+# The time of one batch, and of one request to a slow store.
 WRITE_TIMEOUT_SECONDS = 2.5
-# Writes of one transaction; the platform's store takes no more.
-LISTS_PER_CALL = 32
-# Half of it is more than the pause after which an agent hands its list over again, and
-# the other half more than an instance is away without power in an ordinary failure.
+# Maximum of operations that the platform's store accepts in a transaction.
+SNAPSHOTS_PER_TRANSACTION = 32
+# Half of it is longer than the interval at which an agent uploads its snapshot again,
+# and the other half longer than a usual power loss of an instance.
 LEASE_SECONDS = 45.0
-# Balancers of a failure domain for each writer: each agent keeps a connection, and with
-# it a thread, at its writer.
+# Number of balancers of a failure domain for each writer. Writers are few, since each
+# agent keeps a connection, and with it a thread, at its writer.
 BALANCERS_PER_WRITER = 8
 
 
 def choose_writer(
     agent_key: int, balancers: Sequence[Peer], *, now: float
 ) -> Peer | None:
-    """Chooses the balancer that keeps an agent's list.
+    """Chooses the balancer that writes an agent's snapshot.
 
     Args:
-        agent_key: A hash of the agent's name.
+        agent_key: Hash of the agent's name.
         balancers: Balancers of its failure domain.
         now: Clock reading, seconds.
 
     Returns:
-        One of a few, the same for all agents that know the same balancers.
+        The writer; None if no balancer is available. All agents that know the same
+        balancers choose among the same few writers.
     """
-    able = [
+    candidates = [
         balancer
         for balancer in balancers
         if balancer.member.state is MemberState.READY
         and not balancer.is_unresponsive(now=now)
     ]
-    if not able:
+    if not candidates:
         return None
-    able.sort(key=lambda balancer: balancer.key)
-    writers = able[: max(1, len(able) // BALANCERS_PER_WRITER)]
+    candidates.sort(key=lambda balancer: balancer.key)
+    writers = candidates[: max(1, len(candidates) // BALANCERS_PER_WRITER)]
     return writers[agent_key % len(writers)]
 
 
 @frozen
-class _Handed:
-    """A list that waits to be written."""
+class _PendingSnapshot:
+    """A snapshot that waits to be written."""
 
     value: bytes
     is_unchanged: bool
@@ -86,121 +86,128 @@
 
 
 class SnapshotWriter:
-    """The lists that one balancer keeps in the store."""
+    """Writes the snapshots that agents upload to one balancer."""
 
     def __init__(self, *, store: KeyValueStore, clock: Clock, log: EventLog) -> None:
-        """Keeps nothing yet.
+        """Initializes the writer.
 
         Args:
             store: The store.
             clock: Clock of the process.
-            log: Takes a line when lists could not be written.
+            log: Event log.
         """
         self._store = store
         self._clock = clock
         self._log = log
         self._lock = threading.Lock()
-        self._handed_by_member: dict[str, _Handed] = {}
+        self._pending_by_member: dict[str, _PendingSnapshot] = {}
         self._written_by_member: dict[str, bytes] = {}
         self._lease_id = 0
         self._granted_at = 0.0
-        self._look_at = 0.0
-        self._is_over = False
+        self._check_lease_at = 0.0
+        self._is_stopped = False
 
     def submit(
         self, member_id: str, value: bytes, *, is_unchanged: bool = False
     ) -> Future[bool]:
-        """Takes an agent's list; called on any thread.
+        """Queues an agent's snapshot; may be called on any thread.
 
         Args:
-            member_id: The agent.
-            value: Its list.
-            is_unchanged: Whether this writer wrote the same list and nobody has since.
+            member_id: Id of the agent.
+            value: Its encoded snapshot.
+            is_unchanged: Whether the last write was the same snapshot by this writer.
 
         Returns:
-            Whether it is written, once that is known.
+            A future that resolves to whether the snapshot is written.
         """
-        known = _Handed(value, is_unchanged, Future())
+        snapshot = _PendingSnapshot(value, is_unchanged, Future())
         with self._lock:
-            before = self._handed_by_member.pop(member_id, None)
-            if not self._is_over:
-                self._handed_by_member[member_id] = known
+            before = self._pending_by_member.pop(member_id, None)
+            if not self._is_stopped:
+                self._pending_by_member[member_id] = snapshot
         if before is not None:
             before.written.set_result(False)
-        if self._is_over and not known.written.done():
-            known.written.set_result(False)
-        return known.written
+        if self._is_stopped and not snapshot.written.done():
+            snapshot.written.set_result(False)
+        return snapshot.written
 
     def write_until(self, stopping: threading.Event) -> None:
-        """Writes what was handed over until told to stop.
+        """Writes queued snapshots until the event is set.
 
         Args:
             stopping: Ends the loop when set.
         """
-        while not stopping.wait(GATHER_SECONDS):
+        while not stopping.wait(BATCH_SECONDS):
             self.step()
         with self._lock:
-            self._is_over = True
-        self._answer(self._take_handed(), is_written=False)
+            self._is_stopped = True
+        self._resolve(self._take_pending(), is_written=False)
 
     def step(self) -> None:
-        """Writes what was handed over since the step before."""
-        handed = self._take_handed()
-        if not handed:
+        """Writes the snapshots that were queued since the previous step."""
+        pending = self._take_pending()
+        if not pending:
             return
         try:
             self._renew_lease()
-            self._write(handed)
+            self._write(pending)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
-            # Their agents write them themselves.
-            self._log.fact("flow lists not kept", lists=len(handed), error=str(error))
+            # The agents write them themselves.
+            self._log.fact("flow lists not kept", lists=len(pending), error=str(error))
             self._lease_id = 0
-        self._answer(handed, is_written=False)
+        self._resolve(pending, is_written=False)
 
-    def _take_handed(self) -> dict[str, _Handed]:
+    def _take_pending(self) -> dict[str, _PendingSnapshot]:
         with self._lock:
-            handed, self._handed_by_member = self._handed_by_member, {}
-        return handed
+            pending, self._pending_by_member = self._pending_by_member, {}
+        return pending
 
-    def _answer(self, handed: dict[str, _Handed], *, is_written: bool) -> None:
-        for known in handed.values():
-            if not known.written.done():
-                known.written.set_result(is_written)
+    def _resolve(
+        self, pending: dict[str, _PendingSnapshot], *, is_written: bool
+    ) -> None:
+        for snapshot in pending.values():
+            if not snapshot.written.done():
+                snapshot.written.set_result(is_written)
 
     def _renew_lease(self) -> None:
-        """Begins a new lease now and then instead of prolonging one.
+        """Replaces the lease periodically instead of renewing it.
 
-        Guards against lists of agents that are gone for good, which would stay for as
-        long as this balancer lives: a list goes over to the new lease when its agent
-        hands it over the next time, and lapses with the old one otherwise.
+        With one lease, snapshots of agents that are gone for good would remain as long
+        as this balancer runs. A snapshot moves to the new lease when its agent uploads
+        it the next time, and otherwise expires with the old one.
         """
         now = self._clock()
         is_old = now >= self._granted_at + LEASE_SECONDS / 2
-        if self._lease_id and not is_old and now >= self._look_at:
-            # It may have lapsed with the store away, and the lists with it.
+        if self._lease_id and not is_old and now >= self._check_lease_at:
+            # It may have expired during an outage, and the snapshots with it.
             is_old = self._store.keep_alive(self._lease_id) <= 0
-            self._look_at = now + RENEW_SECONDS
+            self._check_lease_at = now + RENEW_INTERVAL_SECONDS
         if self._lease_id and not is_old:
             return
         self._lease_id = self._store.grant_lease(LEASE_SECONDS).lease_id
         self._granted_at = now
-        self._look_at = now + RENEW_SECONDS
+        self._check_lease_at = now + RENEW_INTERVAL_SECONDS
         self._written_by_member.clear()
 
-    def _write(self, handed: dict[str, _Handed]) -> None:
+    def _write(self, pending: dict[str, _PendingSnapshot]) -> None:
         new = []
-        for member_id, known in handed.items():
-            is_same = self._written_by_member.get(member_id) == known.value
-            if known.is_unchanged and is_same:
-                known.written.set_result(True)
+        for member_id, snapshot in pending.items():
+            is_same = self._written_by_member.get(member_id) == snapshot.value
+            if snapshot.is_unchanged and is_same:
+                snapshot.written.set_result(True)
             else:
                 new.append(member_id)
-        for start in range(0, len(new), LISTS_PER_CALL):
-            part = {name: handed[name] for name in new[start : start + LISTS_PER_CALL]}
+        for start in range(0, len(new), SNAPSHOTS_PER_TRANSACTION):
+            batch = {
+                name: pending[name]
+                for name in new[start : start + SNAPSHOTS_PER_TRANSACTION]
+            }
             puts = tuple(
-                Put(snapshot_key(name), known.value, self._lease_id)
-                for name, known in part.items()
+                Put(snapshot_key(name), snapshot.value, self._lease_id)
+                for name, snapshot in batch.items()
             )
             self._store.transact((), puts)
-            self._written_by_member |= {n: known.value for n, known in part.items()}
-            self._answer(part, is_written=True)
+            self._written_by_member |= {
+                n: snapshot.value for n, snapshot in batch.items()
+            }
+            self._resolve(batch, is_written=True)
--- a/src/siskinshift/connections/upstream_restart_check.py
+++ b/src/siskinshift/connections/upstream_restart_check.py
@@ -1,9 +1,9 @@
-"""Whether the upstream that an agent first hears began after the process before it.
+"""Detects that an upstream started after the agent's previous process had ended.
 
-Pattern of load: all power is lost, and callers go on to use hundreds of flows that are
-in no list. Each agent has to say that it does not hold them. One that can't tell
-whether its upstream lived on has to hand each of them to the upstream to see; on links
-of a few Mbit/s those packets alone leave the searches no room, and none of them ends.
+After a power loss, callers continue to use hundreds of flows that are in no flow
+snapshot, and each agent has to deny owning them. An agent that cannot rule out that its
+upstream kept running has to probe the upstream with each of these flows. On links of a
+few Mbit/s, those packets leave no bandwidth for owner lookups, and none completes.
 """
 
 from __future__ import annotations
@@ -17,48 +17,52 @@
 
 
 class UpstreamRestartCheck:
-    """Compares the first heartbeat with the list that the process before wrote.
+    """Compares the first heartbeat with the snapshot of the previous process.
 
-    An upstream that is another start than the list names, and still cold, holds no flow
+    A cold upstream whose incarnation differs from the one in the snapshot holds no flow
     that this process has not seen: all flows of an upstream pass through its agent, and
-    an agent names a new start in its list as soon as it hears of it. Without a list
-    nothing is known: the process before may have ended before it wrote one.
+    an agent writes a new incarnation to its snapshot as soon as it receives a heartbeat
+    of it. Without a snapshot the check is inconclusive, since the previous process may
+    have ended before it wrote one.
     """
 
     def __init__(self) -> None:
-        """Has neither a heartbeat nor a list."""
-        self._heard: Heartbeat | None = None
-        self._listed: Incarnation | None = None
+        """Initializes the check without a heartbeat or a snapshot."""
+        self._first_heartbeat: Heartbeat | None = None
+        self._snapshot_incarnation: Incarnation | None = None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> bool:
-        """Takes a heartbeat; those after the first change nothing.
+        """Handles a heartbeat; only the first one has an effect.
 
         Args:
             heartbeat: The heartbeat.
 
         Returns:
-            Whether it is known now that its upstream is new.
+            Whether this shows that the upstream is new.
         """
-        if self._heard is not None:
+        if self._first_heartbeat is not None:
             return False
-        self._heard = heartbeat
+        self._first_heartbeat = heartbeat
         return self._is_new
 
     def on_snapshot_read(self, incarnation: Incarnation | None) -> bool:
-        """Takes note of whose flows the list of the process before names.
+        """Records the incarnation in the snapshot of the previous process.
 
         Args:
-            incarnation: The start of the upstream; None if the list names none.
+            incarnation: Incarnation of the upstream; None if the snapshot has none.
 
         Returns:
-            Whether it is known now that the upstream is new.
+            Whether this shows that the upstream is new.
         """
-        self._listed = incarnation
+        self._snapshot_incarnation = incarnation
         return self._is_new
 
     @property
     def _is_new(self) -> bool:
-        if self._heard is None:
+        if self._first_heartbeat is None:
             return False
-        is_other = self._listed not in (None, self._heard.incarnation)
-        return is_other and self._heard.cold_seconds > 0
+        is_other = self._snapshot_incarnation not in (
+            None,
+            self._first_heartbeat.incarnation,
+        )
+        return is_other and self._first_heartbeat.cold_seconds > 0
