--- a/src/siskinshift/connections/configuration_catch_up.py
+++ b/src/siskinshift/connections/configuration_catch_up.py
@@ -1,28 +1,27 @@
-"""When a balancer asks a peer for a configuration that it lacks; needs no network."""
+"""Decides when a balancer requests a newer configuration from a peer."""
 
 from __future__ import annotations
 
 
-# Changes reach all balancers within milliseconds of each other while the store answers
-# them; one that has not even begun to read by then is turned away. Far below the three
-# seconds within which a change has to be in force.
+# While the store responds, changes reach all balancers within milliseconds of each
+# other; a balancer that has not begun to read by then is refused by the store. Far
+# below the three seconds within which a change has to be in force.
 FETCH_AFTER_SECONDS = 0.4
-# A balancer that starts has no configuration to go on with. The store answers in 4 ms;
-# sixty times that is its slowest seen disturbance.
-START_SECONDS = 0.25
+# A starting balancer has no configuration to continue with. The store responds in 4 ms,
+# and in its slowest observed disturbance in sixty times that.
+START_DELAY_SECONDS = 0.25
 
 
 class CatchUp:
-    """Decides by what peers tell and by how the own reading comes along.
+    """Decides by the versions that peers announce and the progress of the own read.
 
-    Pattern of load: a change of a long configuration, and balancers on thin links. One
-    at 7 Mbit/s reads 4,246 routes for 1.1 s, while peers on better links hold the
-    change at once. A peer's copy beside a reading that flows makes both late, since
-    they share the link.
+    A balancer on a link of 7 Mbit/s needs 1.1 s to read 4,246 routes, while peers on
+    faster links have the change at once. Fetching a peer's copy while the own read is
+    in progress would delay both, since they share the link.
     """
 
     def __init__(self) -> None:
-        """Starts without word of any version."""
+        """Initializes the state without an announced version."""
         self._newest_announced = 0
         self._behind_since = 0.0
 
@@ -35,17 +34,18 @@
         is_failing: bool = False,
         now: float,
     ) -> bool:
-        """Takes a peer's word and decides whether its copy is needed now.
+        """Handles a version that a peer announced.
 
         Args:
             announced: Version that the peer holds.
             held: Version in force here; 0 for none.
-            last_progress_at: When the newest part of the own reading came, seconds.
-            is_failing: Whether the last own reading failed.
+            last_progress_at: Time at which the newest part of the own read arrived,
+                seconds.
+            is_failing: Whether the last own read failed.
             now: Clock reading, seconds.
 
         Returns:
-            Whether to fetch from this peer.
+            Whether to fetch the configuration from this peer now.
         """
         if announced <= held:
             return False
@@ -53,8 +53,8 @@
             self._behind_since = now
         self._newest_announced = max(self._newest_announced, announced)
         is_flowing = now - last_progress_at < FETCH_AFTER_SECONDS
-        patience = FETCH_AFTER_SECONDS
+        delay = FETCH_AFTER_SECONDS
         if held == 0:
-            # Nobody is served without a configuration.
-            patience = 0.0 if is_failing else START_SECONDS
-        return now - self._behind_since >= patience and not is_flowing
+            # Without a configuration, no caller is served.
+            delay = 0.0 if is_failing else START_DELAY_SECONDS
+        return now - self._behind_since >= delay and not is_flowing
--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Follows what operators write to the store: the configuration and evacuations."""
+"""Follows the configuration and the evacuations that operators write to the store."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
     from siskinshift.runtime.http_client import Transfer
 
 
-# A change must be in force within three seconds of the store's return.
-RETRY = Backoff(0.1, 0.6)
-# Source of what no peer gave.
+# A change must be in force within three seconds of the store's recovery.
+RETRY_BACKOFF = Backoff(0.1, 0.6)
+# Source of a configuration that was not received from a peer.
 STORE = "store"
 
 
 @frozen
 class ConfigurationReading:
-    """A configuration as it was read, and what its reading took.
+    """A configuration as it was read, and the time that this took.
 
     Attributes:
-        value: As the store holds it.
-        source: Who gave it: the store or a peer's id.
-        seconds: From the first part of the answer to its last.
+        value: Value of the entry in the store.
+        source: The store, or the id of the peer that sent it.
+        seconds: Time from the first part of the response to its last.
     """
 
     value: bytes
@@ -48,19 +48,19 @@
 
 
 class TransferringWatch(Watch, Protocol):
-    """A watch that tells how far its newest answer has come."""
+    """A watch that reports the progress of its newest response."""
 
     @property
     def transfer(self) -> Transfer:
-        """How far it has come."""
+        """Progress of the newest response."""
 
 
 class ConfigurationStore(Protocol):
-    """The calls of a store that following needs; see KeyValueStore."""
+    """The operations of a store that the follower needs; see KeyValueStore."""
 
     @property
     def transfer(self) -> Transfer:
-        """How far the newest answer to a reading has come."""
+        """Progress of the newest response to a read."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix."""
@@ -70,7 +70,7 @@
 
 
 class ConfigurationFollower:
-    """Reads once and waits for each change, both kinds in one call of the store."""
+    """Reads once and then watches for changes of both kinds with one watch."""
 
     def __init__(
         self,
@@ -83,16 +83,17 @@
         random: Random,
         log: EventLog,
     ) -> None:
-        """Prepares.
+        """Initializes the follower.
 
         Args:
-            store: The store; its answers are not older than the call.
-            prefix: Prefix of all that operators write.
+            store: The store; its responses are not older than the request.
+            prefix: Prefix of all entries that operators write.
             key: Key of the configuration.
-            evacuations: Takes each reading and each change before the configuration.
-            on_reading: Takes each reading of the configuration, newest last.
+            evacuations: Reader that is given each read and each change before the
+                configuration.
+            on_reading: Called with each configuration that was read, newest last.
             random: Source of the jitter.
-            log: Takes a line when the store is lost or regained.
+            log: Event log.
         """
         self._store = store
         self._prefix = prefix
@@ -101,31 +102,31 @@
         self._on_reading = on_reading
         self._log = log
         self._availability = StoreAvailability(
-            "configuration", retry=RETRY, random=random, log=log
+            "configuration", retry=RETRY_BACKOFF, random=random, log=log
         )
         self._is_behind = False
         self._read_revision = 0
         self._watch: TransferringWatch | None = None
 
     def stop(self) -> None:
-        """Ends a wait in another thread; a process must not outlast its notice."""
+        """Closes the watch; a process must end within its shutdown grace period."""
         watch = self._watch
         if watch is not None:
             watch.close()
 
     @property
     def transfer(self) -> Transfer:
-        """How far the newest answer has come; other threads may ask."""
+        """Progress of the newest response; may be read on other threads."""
         watch = self._watch
         return self._store.transfer if watch is None else watch.transfer
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last call failed."""
+        """Whether the last request failed."""
         return self._availability.is_lost
 
     def follow_until(self, stopping: threading.Event) -> None:
-        """Follows until told to stop.
+        """Follows until the event is set.
 
         Args:
             stopping: Ends the loop when set.
@@ -150,7 +151,7 @@
                     return
                 changes = [e for e in batch.entries if e.key == self._key]
                 if changes:
-                    self._take(changes[-1], watch.transfer)
+                    self._handle_entry(changes[-1], watch.transfer)
                 if len(changes) > 1:
                     self._is_behind = True
                     return
@@ -159,32 +160,33 @@
             watch.close()
 
     def _read_newest(self, stopping: threading.Event) -> int:
-        """Reads until nothing newer came meanwhile, if changes come fast.
+        """Reads the newest entries; repeats the read if the follower has fallen behind.
 
-        Guards against changes that come faster than they can be read. A wait hands over
-        all that was missed, whole: of 18 changes of 530 KB in 6 s a link of 7 Mbit/s
-        carries a half, and each wait held more than the one before. A reading holds the
-        newest alone, so the balancer is never further behind than two readings.
+        Changes may arrive faster than they can be read. A watch returns all missed
+        changes in full: with 18 changes of 530 KB in 6 s, a link of 7 Mbit/s carries
+        half of them, and each response was longer than the one before. A read returns
+        only the newest, so the balancer is never more than two reads behind.
 
         Returns:
-            Revision to wait from.
+            Revision from which to watch.
         """
         while True:
-            # By prefix, since that gives a revision to wait from also while there is no
-            # configuration yet: operators may write it long after the nodes start.
+            # Read by prefix, since that returns a revision to watch from even if there
+            # is no configuration yet: operators may write it long after the nodes
+            # start.
             snapshot = self._store.list_prefix(self._prefix)
             self._availability.record_success()
             self._evacuations.read(snapshot)
             known = self._read_revision
             for entry in snapshot.entries:
                 if entry.key == self._key:
-                    self._take(entry, self._store.transfer)
+                    self._handle_entry(entry, self._store.transfer)
             is_newer = self._read_revision > known
             self._is_behind = self._is_behind and is_newer
             if not self._is_behind or stopping.is_set():
                 return snapshot.revision
 
-    def _take(self, entry: Entry, transfer: Transfer) -> None:
+    def _handle_entry(self, entry: Entry, transfer: Transfer) -> None:
         self._read_revision = entry.revision
         reading = ConfigurationReading(entry.value, seconds=transfer.seconds)
         self._on_reading(reading)
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -1,9 +1,8 @@
-"""To which peers a balancer sends the evacuations that it holds.
+"""Decides to which peers a balancer sends the evacuations that it holds.
 
-Pattern: an order for a failure domain of a thousand agents, held by hundreds of
-balancers. Each agent gets it at once from a few balancers, which a ring of hashes
-names; every other balancer sends it when it next hears of the agent, once for each
-incarnation and revision.
+A failure domain may have a thousand agents and hundreds of balancers. A few balancers,
+chosen by consistent hashing, send a change to each agent at once. Every other balancer
+sends it with the agent's next message, once for each incarnation and revision.
 """
 
 from __future__ import annotations
@@ -25,23 +24,23 @@
     from siskinshift.connections.fleet import Peer
 
 
-# Balancers that send a change to an agent at once: two messages may be lost.
+# Number of balancers that send a change to an agent at once; two messages may be lost.
 SENDERS_PER_AGENT = 3
 
 
 class EvacuationDissemination:
-    """Sends evacuations to the agents that they concern, and to balancers behind."""
+    """Sends evacuations to the agents concerned and to balancers."""
 
     def __init__(self, register: EvacuationRegister, *, member_id: str) -> None:
-        """Has sent nothing yet.
+        """Initializes the state without sent messages.
 
         Args:
             register: The newest evacuations.
-            member_id: The balancer.
+            member_id: Id of the balancer.
         """
         self._register = register
         self._key = xxhash.xxh3_64_intdigest(member_id.encode())
-        # Incarnation of the agent and revision that it was sent last.
+        # Incarnation of each agent and the revision that it was last sent.
         self._sent_by_member_id: dict[str, tuple[int, int]] = {}
 
     def on_change(
@@ -51,13 +50,13 @@
 
         Args:
             agents: All agents.
-            balancers: All other balancers.
+            balancers: All balancers except this one.
             now: Clock reading, seconds.
 
         Returns:
             The messages.
         """
-        # Those of the revision before are of no more use.
+        # Records of the previous revision are obsolete.
         self._sent_by_member_id.clear()
         concerned = [agent for agent in agents if self._concerns(agent)]
         others = [peer.key for peer in balancers if not peer.is_unresponsive(now=now)]
@@ -69,13 +68,13 @@
         ]
 
     def on_agent_message(self, agent: Peer) -> list[ToPeer]:
-        """Sends an agent what it may lack.
+        """Sends the evacuations to an agent that may lack them.
 
         Args:
-            agent: An agent that has just spoken.
+            agent: An agent of which a message was just received.
 
         Returns:
-            A message if this balancer did not send it this revision yet.
+            A message if this balancer has not sent it this revision yet.
         """
         if not self._concerns(agent):
             return []
@@ -85,13 +84,13 @@
         return [self._send(agent)]
 
     def to_balancers(self, balancers: Sequence[Peer]) -> list[ToPeer]:
-        """Sends balancers the evacuations, for those that can't read the store.
+        """Sends the evacuations to balancers, some of which cannot read the store.
 
         Args:
             balancers: Balancers that are sent a heartbeat now.
 
         Returns:
-            The messages; none if no domain was evacuated in the process's life.
+            The messages; none if no evacuation has changed since the process started.
         """
         if not self._register.changed_domains:
             return []
@@ -101,14 +100,14 @@
     def reply_to(
         self, evacuations: Evacuations, address: tuple[str, int]
     ) -> list[ToPeer]:
-        """Answers a peer whose evacuations are older.
+        """Replies to a peer whose evacuations are older.
 
         Args:
-            evacuations: What the peer sent.
-            address: The peer.
+            evacuations: Evacuations that the peer sent.
+            address: Address of the peer.
 
         Returns:
-            The newer ones, if there are any.
+            A message with the newer evacuations, if there are any.
         """
         if not self._register.supersedes(evacuations):
             return []
@@ -126,6 +125,6 @@
 
 
 def _successors(ring: list[int], key: int) -> list[int]:
-    """Names the keys that follow a key on a ring."""
+    """Returns the keys that follow a key on a hash ring."""
     start = bisect_left(ring, key)
     return (ring[start:] + ring)[:SENDERS_PER_AGENT]
--- a/src/siskinshift/connections/evacuation_reader.py
+++ b/src/siskinshift/connections/evacuation_reader.py
@@ -1,10 +1,10 @@
-"""Reads operators' evacuations out of what a watch of the store delivers."""
+"""Extracts the operators' evacuations from reads and watches of the store."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from siskinshift.connections.evacuations import DOMAINS_MAXIMUM
+from siskinshift.connections.evacuations import MAX_DOMAINS
 from siskinshift.connections.evacuations import Evacuations
 from siskinshift.control.exceptions import BadMessageError
 
@@ -19,7 +19,7 @@
 
 
 class EvacuationReader:
-    """Keeps the evacuated domains by the key of their entry."""
+    """Tracks the evacuated domains by the key of their entry."""
 
     def __init__(
         self,
@@ -29,14 +29,14 @@
         on_evacuations: Callable[[Evacuations], object],
         log: EventLog,
     ) -> None:
-        """Starts without any entry.
+        """Initializes the reader without entries.
 
         Args:
             prefix: Prefix of the entries' keys.
-            decode_domain: Reads an entry; raises BadMessageError for one that names
-                no failure domain.
-            on_evacuations: Takes the evacuations after each change.
-            log: Takes a line for each entry that can't be read.
+            decode_domain: Returns the failure domain of an entry; raises
+                BadMessageError for an invalid entry.
+            on_evacuations: Called with the evacuations after each change.
+            log: Event log.
         """
         self._prefix = prefix
         self._decode_domain = decode_domain
@@ -45,10 +45,10 @@
         self._domains_by_key: dict[str, str] = {}
 
     def read(self, snapshot: Snapshot) -> None:
-        """Takes a reading of all entries.
+        """Replaces all entries by those of a read.
 
         Args:
-            snapshot: The entries; those of other kinds are ignored.
+            snapshot: The entries; those with another prefix are ignored.
         """
         self._domains_by_key.clear()
         for entry in snapshot.entries:
@@ -56,14 +56,15 @@
         self._publish(snapshot.revision)
 
     def apply(self, batch: WatchBatch) -> bool:
-        """Takes changes.
+        """Applies changes from a watch.
 
         Args:
             batch: The changes.
 
         Returns:
-            Whether they could be applied. An entry that was both written and removed
-            can't: a batch does not tell which came last, and has to be read again.
+            Whether they were applied. If an entry was both written and removed, they
+            are not and the entries have to be read again, since a batch does not
+            contain the order of the two.
         """
         written = [e for e in batch.entries if e.key.startswith(self._prefix)]
         removed = [k for k in batch.deleted_keys if k.startswith(self._prefix)]
@@ -91,9 +92,7 @@
 
     def _publish(self, revision: int) -> None:
         domains = sorted(set(self._domains_by_key.values()))
-        if len(domains) > DOMAINS_MAXIMUM:
-            self._log.fact(
-                "evacuations cut", domains=len(domains), kept=DOMAINS_MAXIMUM
-            )
-        kept = frozenset(domains[:DOMAINS_MAXIMUM])
+        if len(domains) > MAX_DOMAINS:
+            self._log.fact("evacuations cut", domains=len(domains), kept=MAX_DOMAINS)
+        kept = frozenset(domains[:MAX_DOMAINS])
         self._on_evacuations(Evacuations(revision, kept))
--- a/src/siskinshift/connections/evacuations.py
+++ b/src/siskinshift/connections/evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains that operators have evacuated: they get no new flows."""
+"""Failure domains that operators have evacuated, which receive no new flows."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from siskinshift.control.exceptions import BadMessageError
 
 
-REVISION_MAXIMUM = (1 << 53) - 1
-# Domains in one order, and characters of a name, so that a message stays a datagram.
-DOMAINS_MAXIMUM = 64
-DOMAIN_LENGTH_MAXIMUM = 100
+MAX_REVISION = (1 << 53) - 1
+# Limits on the domains and on the characters of a name keep a message within a
+# datagram.
+MAX_DOMAINS = 64
+MAX_DOMAIN_LENGTH = 100
 
 
 @frozen
@@ -22,8 +23,8 @@
     """The evacuated failure domains as of one revision of the store.
 
     Attributes:
-        revision: Revision of the store; 0 before the first reading.
-        domains: Failure domains that get no new flows.
+        revision: Revision of the store; 0 before the first read.
+        domains: Failure domains that receive no new flows.
     """
 
     revision: int = 0
@@ -31,27 +32,27 @@
 
 
 class EvacuationRegister:
-    """The newest evacuations that a node knows.
+    """The newest evacuations that a node has received.
 
     Attributes:
-        current: As of the newest revision.
-        changed_domains: Domains whose order has changed in the life of this process;
-            agents there may hold an older one.
+        current: Evacuations as of the newest revision.
+        changed_domains: Domains whose evacuation has begun or ended since this process
+            started; agents there may hold an older state.
     """
 
     def __init__(self) -> None:
-        """Starts without any evacuated domain."""
+        """Initializes the register without evacuated domains."""
         self.current = Evacuations()
         self.changed_domains: set[str] = set()
 
     def update(self, evacuations: Evacuations) -> bool:
-        """Takes evacuations unless newer ones are known.
+        """Applies evacuations unless newer ones are known.
 
         Args:
-            evacuations: As read from the store or received from a peer.
+            evacuations: Evacuations from the store or from a peer.
 
         Returns:
-            Whether a domain was evacuated or taken back.
+            Whether the evacuation of a domain has begun or ended.
         """
         if evacuations.revision <= self.current.revision:
             return False
@@ -61,7 +62,7 @@
         return bool(changed)
 
     def covers(self, failure_domain: str) -> bool:
-        """Says whether a failure domain is evacuated.
+        """Returns whether a failure domain is evacuated.
 
         Args:
             failure_domain: The failure domain.
@@ -69,10 +70,10 @@
         return failure_domain in self.current.domains
 
     def supersedes(self, evacuations: Evacuations) -> bool:
-        """Says whether a peer needs to be sent the current evacuations.
+        """Returns whether a peer has to be sent the current evacuations.
 
         Args:
-            evacuations: What the peer holds.
+            evacuations: Evacuations that the peer holds.
 
         Returns:
             Whether they are older and differ.
@@ -82,7 +83,7 @@
 
 
 def encode_evacuations(evacuations: Evacuations) -> bytes:
-    """Writes evacuations for a peer.
+    """Encodes evacuations for a peer.
 
     Args:
         evacuations: The evacuations.
@@ -95,7 +96,7 @@
 
 
 def evacuations_from_document(document: dict[str, Any]) -> Evacuations:
-    """Reads evacuations that a peer wrote.
+    """Decodes evacuations that a peer sent.
 
     Args:
         document: A JSON object of `encode_evacuations`; further fields are ignored.
@@ -107,18 +108,18 @@
         BadMessageError: A field is missing, of another type or out of range.
     """
     domains = document.get("domains")
-    if not isinstance(domains, list) or len(domains) > DOMAINS_MAXIMUM:
-        raise BadMessageError("domains: no list, or too long a one")
+    if not isinstance(domains, list) or len(domains) > MAX_DOMAINS:
+        raise BadMessageError("domains: not a list, or too many entries")
     if not all(isinstance(d, str) and is_domain_name(d) for d in domains):
-        raise BadMessageError("domains: not all are names")
-    revision = whole_of(document, "revision", maximum=REVISION_MAXIMUM)
+        raise BadMessageError("domains: not all entries are valid names")
+    revision = whole_of(document, "revision", maximum=MAX_REVISION)
     return Evacuations(revision, frozenset(domains))
 
 
 def is_domain_name(name: str) -> bool:
-    """Says whether a text can name a failure domain.
+    """Returns whether a text is a valid name of a failure domain.
 
     Args:
         name: The text.
     """
-    return 0 < len(name) <= DOMAIN_LENGTH_MAXIMUM and name.isprintable()
+    return 0 < len(name) <= MAX_DOMAIN_LENGTH and name.isprintable()
--- a/src/siskinshift/connections/store_availability.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -1,4 +1,4 @@
-"""What a task of a node knows of its contact with the store."""
+"""Tracks whether a task of a node reaches the store."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class StoreAvailability:
-    """Tells of the store's loss and return once each, and paces the tries between."""
+    """Logs the loss and the recovery of the store, and paces the attempts between."""
 
     def __init__(
         self, subject: str, *, retry: Backoff, random: Random, log: EventLog
     ) -> None:
-        """Starts in contact.
+        """Initializes the state as available.
 
         Args:
-            subject: What is lost and regained, the first word of both lines.
-            retry: Pauses between tries.
+            subject: First word of both log events.
+            retry: Pauses between attempts.
             random: Source of the jitter.
-            log: Takes the lines.
+            log: Event log.
         """
         self._subject = subject
         self._retry = retry
@@ -34,17 +34,17 @@
 
     @property
     def is_lost(self) -> bool:
-        """Whether the last call failed."""
+        """Whether the last request failed."""
         return self._failures > 0
 
     def record_failure(self, error: Exception) -> float:
-        """Takes note of a call that failed.
+        """Records a failed request.
 
         Args:
-            error: Why.
+            error: The error.
 
         Returns:
-            Seconds until the next try.
+            Seconds until the next attempt.
         """
         if not self._failures:
             self._log.fact(f"{self._subject} lost", error=str(error))
@@ -52,7 +52,7 @@
         return self._retry.pause(self._failures, self._random)
 
     def record_success(self) -> None:
-        """Takes note of a call that was answered."""
+        """Records a successful request."""
         if not self._failures:
             return
         self._log.fact(f"{self._subject} regained", failures=self._failures)
