--- a/src/siskinshift/connections/__init__.py
+++ b/src/siskinshift/connections/__init__.py
@@ -1,7 +1,7 @@
-"""Flows that are transport connections, carried end to end and never terminated.
+"""Flows that are transport connections, forwarded end to end and never terminated.
 
-The system sees where such a flow begins, who answered it and when it ends, and
-reads nothing of what it carries.
+The system tracks where a flow begins, which upstream owns it and when it ends, and does
+not read its payload.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/connections/__main__.py
+++ b/src/siskinshift/connections/__main__.py
@@ -5,8 +5,8 @@
 import signal
 
 
-# Before any other import: the signal to read settings again would end a process that
-# has no handler yet, and it may come at any moment.
+# Before any other import: SIGHUP, which reloads the settings, may arrive at any time
+# and would end a process that has no handler for it yet.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import sys  # noqa: E402
--- a/src/siskinshift/connections/node_settings.py
+++ b/src/siskinshift/connections/node_settings.py
@@ -1,4 +1,4 @@
-"""What a node on the platform is told about itself."""
+"""Settings of a node on the platform."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @frozen
 class StoreSettings:
-    """How the platform's store is reached.
+    """Settings of the client of the platform's store.
 
     Attributes:
-        endpoint: Where it listens.
-        call_rate: Calls a client may make a second on average; a balancer has two
-            clients, one of them for the configuration.
-        call_burst: Calls a client may make at once.
-        lease_minimum: Shortest life of a lease, seconds.
+        endpoint: Address of the store.
+        call_rate: Average number of requests that a client may send a second; a
+            balancer has two clients, one of them for the configuration.
+        call_burst: Number of requests that a client may send at once.
+        lease_minimum: Minimum time to live of a lease, seconds.
     """
 
     endpoint: Endpoint
@@ -31,21 +31,25 @@
 
     Attributes:
         node_id: Name, unique in the deployment.
-        region: Region the instance stands in.
-        failure_domain: Failure domain the instance stands in.
-        host: Own IP number.
+        region: Region of the instance.
+        failure_domain: Failure domain of the instance.
+        host: IP address of the node.
         peer_port: Port for messages between nodes, UDP and TCP; the same on all.
-        seed_hosts: IP numbers of nodes that may know others; some may be down.
-        readiness: Where readiness is asked for; None when nobody asks.
-        heartbeats: Where an upstream sends heartbeats; None when none does.
-        caller_packets: Where callers' packets arrive; an agent sends to that port.
-        upstream_outlet: Where the upstream sends its packets; None for a balancer.
-        upstream: Where the upstream takes packets; None for a balancer.
+        seed_hosts: IP addresses of nodes to query for other nodes; some may be down.
+        readiness: Endpoint that serves readiness checks; None if there is none.
+        heartbeats: Endpoint that receives an upstream's heartbeats; None if there is
+            none.
+        caller_packets: Endpoint that receives callers' packets; an agent sends to that
+            port.
+        upstream_outlet: Endpoint to which the upstream sends its packets; None for a
+            balancer.
+        upstream: Endpoint on which the upstream receives packets; None for a balancer.
         service_id: Service of the upstream; empty for a balancer.
         heartbeat_interval: Seconds between two heartbeats of an upstream.
-        leave_seconds: Time from the signal to end until the process is killed.
-        link_bytes_per_second: What the instance's own link carries each way.
-        store: The platform's store.
+        leave_seconds: Shutdown grace period: time from the termination signal until
+            the process is killed.
+        link_bytes_per_second: Bandwidth of the instance's own link in each direction.
+        store: Settings of the platform's store.
     """
 
     node_id: str
--- a/src/siskinshift/connections/run.py
+++ b/src/siskinshift/connections/run.py
@@ -1,4 +1,4 @@
-"""Starts a node by its role."""
+"""Runs a node of a given role."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """Runs a node in the foreground until SIGTERM.
 
     Args:
-        arguments: The role.
+        arguments: Command line arguments: the role.
 
     Returns:
         Exit status.
@@ -48,7 +48,7 @@
 
 
 def _make_node(role: Role, settings: NodeSettings) -> ConnectionNode:
-    # Each role imports what it needs: memory counts on the instances.
+    # Each role imports only its own modules, since memory is scarce on the instances.
     if role is Role.BALANCER:
         from siskinshift.connections.balancer_node import BalancerNode
 
