--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -196,7 +196,7 @@
             current = encode_evacuations_message(self.evacuations.current)
             return [ToPeer(source, current)]
         self.evacuations.update(evacuations)
-        is_evacuated = self.evacuations.covers(self.member.failure_domain)
+        is_evacuated = self.evacuations.is_evacuated(self.member.failure_domain)
         if is_evacuated == self.flows.is_evacuated:
             return ()
         self.flows.is_evacuated = is_evacuated
--- a/src/siskinshift/connections/evacuations.py
+++ b/src/siskinshift/connections/evacuations.py
@@ -61,7 +61,7 @@
         self.changed_domains |= changed
         return bool(changed)
 
-    def covers(self, failure_domain: str) -> bool:
+    def is_evacuated(self, failure_domain: str) -> bool:
         """Returns whether a failure domain is evacuated.
 
         Args:
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -106,7 +106,7 @@
         Args:
             agent: The agent.
         """
-        return self._evacuations.covers(agent.member.failure_domain)
+        return self._evacuations.is_evacuated(agent.member.failure_domain)
 
     def _is_near(self, agent: Peer) -> bool:
         return agent.member.failure_domain == self._failure_domain
