--- a/tests/connections/test_balancer_node.py
+++ b/tests/connections/test_balancer_node.py
@@ -19,7 +19,7 @@
 from siskinshift.runtime.http_client import Transfer
 from tests.connections.builders import member
 from tests.connections.builders import routes
-from tests.connections.direct_store import SETTINGS
+from tests.connections.in_memory_store import SETTINGS
 
 
 if TYPE_CHECKING:
--- a/tests/connections/test_decoders.py
+++ b/tests/connections/test_decoders.py
@@ -38,7 +38,7 @@
 from siskinshift.runtime.http_client import HttpClient
 from siskinshift.runtime.http_server import HttpRequest
 from tests.connections.builders import member
-from tests.connections.direct_store import SETTINGS
+from tests.connections.in_memory_store import SETTINGS
 
 
 class _AnsweringClient(HttpClient):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -22,7 +22,7 @@
 from siskinshift.platform.store import PlatformStore
 from siskinshift.standins.platform_store import PAGE_ITEMS
 from tests.connections.deployment import WAIT_SECONDS
-from tests.connections.direct_store import SETTINGS
+from tests.connections.in_memory_store import SETTINGS
 from tests.soak.proxy import LOOPBACK
 from tests.soak.proxy import StoreProxy
 from tests.soak.proxy import Trouble
