--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -123,7 +123,7 @@
     @property
     def is_failing(self) -> bool:
         """Whether the last request failed."""
-        return self._availability.is_lost
+        return self._availability.is_unavailable
 
     def follow_until(self, stopping: threading.Event) -> None:
         """Follows until the event is set.
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -59,8 +59,10 @@
         # Records of the previous revision are obsolete.
         self._sent_by_member_id.clear()
         concerned = [agent for agent in agents if self._concerns(agent)]
-        others = [peer.key for peer in balancers if not peer.is_unresponsive(now=now)]
-        ring = sorted([*others, self._key])
+        peer_keys = [
+            peer.key for peer in balancers if not peer.is_unresponsive(now=now)
+        ]
+        ring = sorted([*peer_keys, self._key])
         return [
             self._send(agent)
             for agent in concerned
--- a/src/siskinshift/connections/evacuation_reader.py
+++ b/src/siskinshift/connections/evacuation_reader.py
@@ -94,5 +94,5 @@
         domains = sorted(set(self._domains_by_key.values()))
         if len(domains) > MAX_DOMAINS:
             self._log.fact("evacuations cut", domains=len(domains), kept=MAX_DOMAINS)
-        kept = frozenset(domains[:MAX_DOMAINS])
-        self._on_evacuations(Evacuations(revision, kept))
+        published = frozenset(domains[:MAX_DOMAINS])
+        self._on_evacuations(Evacuations(revision, published))
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -332,16 +332,16 @@
         Returns:
             The removed peers.
         """
-        gone = [
+        removed = [
             peer
             for peer in self.peers_by_id.values()
             if not peer.is_registered
             and now - max(peer.last_seen_at, peer.registered_at)
             > max(REMOVE_AFTER_SECONDS, peer.unresponsive_after)
         ]
-        for peer in gone:
+        for peer in removed:
             self._remove(peer)
-        return gone
+        return removed
 
     def _merge(
         self, member: Member, *, now: float, is_from_member: bool
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -62,7 +62,7 @@
 # Seeds and some of the peers are queried until all peers are known, and once after the
 # first read of the store. Without a read the node waits for this long first, since the
 # seeds may be starting as well.
-SEED_WAIT_SECONDS = 0.3
+SEED_DELAY_SECONDS = 0.3
 # Lists of hosts that arrive later than this after the start are ignored: the node has
 # stopped querying, so the sender is not one of the queried peers.
 ACCEPT_HOSTS_SECONDS = 5.0
@@ -121,7 +121,7 @@
         )
         self._caller_port = settings.caller_packets.port
         self._has_unresponsive = False
-        self._query_seeds_at = self.clock() + SEED_WAIT_SECONDS
+        self._query_seeds_at = self.clock() + SEED_DELAY_SECONDS
         self._has_queried = False
         self._accept_hosts_until = self.clock() + ACCEPT_HOSTS_SECONDS
         self._removed_at = float("-inf")
@@ -360,20 +360,20 @@
             self.perform(self.on_message(message, source, now))
 
     def _on_status(self, status: Status, source: tuple[str, int], now: float) -> None:
-        before = self.fleet.peers_by_id.get(status.member.member_id)
-        incarnation = before.member.incarnation if before else 0
-        last_seen_at = before.last_seen_at if before else now
+        previous = self.fleet.peers_by_id.get(status.member.member_id)
+        incarnation = previous.member.incarnation if previous else 0
+        last_seen_at = previous.last_seen_at if previous else now
         peer = self.fleet.handle_status(status, now=now)
         if peer is None:
             return
-        if before is None:
+        if previous is None:
             self.log.fact("peer found", peer=status.member.member_id, source="itself")
         if status.wants_status:
             self.send_datagram(self._own_status(), source)
         if status.wants_members:
             for known in self._discovery.known_hosts_for(status.member, now=now):
                 self.send_datagram(encode_known_hosts(known), source)
-        if before is not None and incarnation != status.member.incarnation:
+        if previous is not None and incarnation != status.member.incarnation:
             self.log.fact("peer restarted", peer=status.member.member_id)
             self.perform(self.on_peer_restarted(peer, last_seen_at, now))
         self.perform(self.on_peer_status(peer, now))
--- a/src/siskinshift/connections/store_availability.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -33,7 +33,7 @@
         self._failures = 0
 
     @property
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the last request failed."""
         return self._failures > 0
 
