--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -12,10 +12,9 @@
 from siskinshift.connections.agent_flows import AgentFlows
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
-from siskinshift.connections.first_start import FirstStart
 from siskinshift.connections.fleet import STATUS_INTERVAL_SECONDS
-from siskinshift.connections.flow_snapshot import HAND_OVER_SECONDS
-from siskinshift.connections.flow_snapshot import READ_PAUSE_SECONDS
+from siskinshift.connections.flow_snapshot import READ_RETRY_SECONDS
+from siskinshift.connections.flow_snapshot import UPLOAD_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import FlowSnapshot
 from siskinshift.connections.flow_snapshot import FlowSnapshotStore
 from siskinshift.connections.node import ConnectionNode
@@ -28,7 +27,8 @@
 from siskinshift.connections.peer_messages import WarmUpRate
 from siskinshift.connections.registration import role_prefix
 from siskinshift.connections.snapshot_upload import SnapshotUpload
-from siskinshift.connections.snapshot_writer import writer_of
+from siskinshift.connections.snapshot_writer import choose_writer
+from siskinshift.connections.upstream_restart_check import UpstreamRestartCheck
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.connections.upstream_state import HeartbeatEffect
@@ -106,16 +106,16 @@
             store=self.store,
             member_id=settings.node_id,
             flows=self._collect_snapshot,
-            hand_over=self._snapshot_upload.hand_over,
+            upload=self._snapshot_upload.upload,
             log=self.log,
         )
-        self._schedule = self.new_schedule(interval=STATUS_INTERVAL_SECONDS)
+        self._schedule = self.new_heartbeat_schedule(interval=STATUS_INTERVAL_SECONDS)
         self._last_heartbeat_at = float("-inf")
         self._probed_at = float("-inf")
         self._is_probing = False
         self._is_process_gone = False
         self._verified_incarnation: Incarnation | None = None
-        self._first_start = FirstStart()
+        self._upstream_restart_check = UpstreamRestartCheck()
         self._is_snapshot_urgent = threading.Event()
         self._notified_incarnations_by_id: dict[str, int] = {}
         self._leave_deadline = float("inf")
@@ -147,7 +147,7 @@
         """Key prefix of the balancers' entries."""
         return role_prefix(Role.BALANCER)
 
-    def is_wanted(self, member: Member) -> bool:
+    def is_relevant_member(self, member: Member) -> bool:
         """Returns whether a member is a balancer, the only peers of agents.
 
         Limits the traffic when all nodes start: most pairs of a fleet are agents, and
@@ -155,7 +155,7 @@
         """
         return member.role is Role.BALANCER
 
-    def begin_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Refuses new flows and ends the process as soon as no request is running."""
         now = self.clock()
         self._leave_deadline = now
@@ -197,7 +197,7 @@
             current = encode_evacuations_message(self.evacuations.current)
             return [ToPeer(source, current)]
         self.evacuations.update(evacuations)
-        is_evacuated = self.evacuations.covers(self.member.failure_domain)
+        is_evacuated = self.evacuations.is_evacuated(self.member.failure_domain)
         if is_evacuated == self.flows.is_evacuated:
             return ()
         self.flows.is_evacuated = is_evacuated
@@ -299,7 +299,7 @@
             effect=effect.name.lower(),
         )
         self._update_member(now)
-        self._apply_first_start(self._first_start.on_heartbeat(heartbeat))
+        self._apply_first_start(self._upstream_restart_check.on_heartbeat(heartbeat))
         if effect is HeartbeatEffect.REPLACED:
             # This process has seen all flows of the new incarnation. The next process
             # must not apply a snapshot of an earlier incarnation to it.
@@ -324,12 +324,12 @@
 
     def _maintain_snapshot(self) -> None:
         snapshot = self._snapshots.load()
-        while snapshot is None and not self.stopping.wait(READ_PAUSE_SECONDS):
+        while snapshot is None and not self.stopping.wait(READ_RETRY_SECONDS):
             snapshot = self._snapshots.load()
         if snapshot is not None:
             self._apply_snapshot(snapshot)
         while not self.stopping.is_set():
-            is_urgent = self._is_snapshot_urgent.wait(HAND_OVER_SECONDS)
+            is_urgent = self._is_snapshot_urgent.wait(UPLOAD_INTERVAL_SECONDS)
             self._is_snapshot_urgent.clear()
             if not self.stopping.is_set():
                 self._snapshots.step(now=self.clock(), is_urgent=is_urgent)
@@ -346,7 +346,9 @@
     ) -> None:
         now = self.clock()
         self.perform(self.flows.restore(flows, now=now))
-        self._apply_first_start(self._first_start.on_list_read(incarnation))
+        self._apply_first_start(
+            self._upstream_restart_check.on_snapshot_read(incarnation)
+        )
         self.log.fact("flows restored", flows=len(flows))
         # Balancers whose status arrived before the snapshot are notified now.
         self._notified_incarnations_by_id.clear()
@@ -365,7 +367,7 @@
                 if peer.member.failure_domain == domain
             ]
             key = xxhash.xxh3_64_intdigest(self.member.member_id.encode())
-            return writer_of(key, near, now=self.clock())
+            return choose_writer(key, near, now=self.clock())
 
         try:
             writer = self.loop.call(choose).result(LOOP_CALL_TIMEOUT_SECONDS)
@@ -461,7 +463,7 @@
         super().on_stop()
         self._is_snapshot_urgent.set()
         if self.upstream.is_gone:
-            self.end_registration()
+            self.deregister()
 
     def _on_process_gone(self, probed_at: float) -> None:
         if self.flows.upstream_last_seen_at >= probed_at:
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -195,8 +195,8 @@
         Returns:
             Actions to perform.
         """
-        self._fleet.answered(agent, now=now)
-        self._fleet.took_load(agent, verdict.load)
+        self._fleet.record_message(agent, now=now)
+        self._fleet.update_load(agent, verdict.load)
         record = self._records.find(verdict.flow)
         if record is None:
             return []
@@ -309,7 +309,7 @@
         while self._retry_timers and self._retry_timers[0][0] <= now:
             _, record, attempt = self._retry_timers.popleft()
             if attempt.verdict is None and self._records.find(record.flow) is record:
-                attempt.agent.unanswered += 1
+                attempt.agent.unanswered_openings += 1
                 actions += self._retry(record, now=now)
         actions += self._finder.tick(now=now)
         while (
@@ -389,7 +389,7 @@
             return self._hold_opening(record, now=now)
         attempt = Attempt(agent)
         record.attempts.append(attempt)
-        agent.placed += 1
+        agent.flows_since_load += 1
         self._retry_timers.append((now + RETRY_AFTER_SECONDS, record, attempt))
         self._log.decision(
             "open",
@@ -398,7 +398,7 @@
             attempt=len(record.attempts),
             load=agent.load.flows,
             running=agent.load.running,
-            load_age=round(now - agent.heard_at, 3),
+            load_age=round(now - agent.last_seen_at, 3),
         )
         return [
             *self._warm_up(agent, record.service_id),
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -21,9 +21,9 @@
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Owned
 from siskinshift.connections.placement import AgentPlacement
-from siskinshift.connections.snapshot_writer import AGAIN_QUERY
-from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
-from siskinshift.connections.snapshot_writer import WRITTEN_SECONDS
+from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
+from siskinshift.connections.snapshot_writer import UNCHANGED_QUERY
+from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
 from siskinshift.control.documents import parse_table
 from siskinshift.control.exceptions import BadMessageError
@@ -128,8 +128,12 @@
         self._peer_client: HttpClient | None = None
         self._is_fetching = False
         self._catch_up = CatchUp()
-        self._agent_schedule = self.new_schedule(interval=AGENT_STATUS_SECONDS)
-        self._balancer_schedule = self.new_schedule(interval=BALANCER_STATUS_SECONDS)
+        self._agent_schedule = self.new_heartbeat_schedule(
+            interval=AGENT_STATUS_SECONDS
+        )
+        self._balancer_schedule = self.new_heartbeat_schedule(
+            interval=BALANCER_STATUS_SECONDS
+        )
         self._received_at = self.clock()
         self._departure: GracefulShutdown | None = None
 
@@ -163,7 +167,7 @@
         """Version of the current configuration; 0 before the first."""
         return self._flows.routes.version if self._flows.routes else 0
 
-    def begin_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Starts to leave: not ready once its domain has enough other balancers."""
         self._departure = GracefulShutdown(
             started_at=self.clock(),
@@ -180,7 +184,7 @@
             return self._flows.on_owned(message, now=now)
         if isinstance(message, Evacuations):
             self.evacuate(message, source=source[0])
-            return self._dissemination.answer(message, source)
+            return self._dissemination.reply_to(message, source)
         agent = self.fleet.peers_by_address.get(source)
         if agent is None or not isinstance(message, FlowVerdict):
             return ()
@@ -191,20 +195,20 @@
         if peer.member.role is Role.BALANCER:
             self._fetch_if_newer(peer, now)
             return ()
-        actions: list[Action] = [*self._dissemination.on_agent_heard(peer)]
+        actions: list[Action] = [*self._dissemination.on_agent_message(peer)]
         if peer.member.state is MemberState.READY:
             actions += self._flows.retry_held(now=now)
         return actions
 
     def on_peer_restarted(
-        self, peer: Peer, silent_since: float, now: float
+        self, peer: Peer, last_seen_at: float, now: float
     ) -> Iterable[Action]:
         """Resends the packets that an agent missed during its restart."""
         if peer.member.role is not Role.AGENT:
             return ()
         return [
-            *self._dissemination.on_agent_heard(peer),
-            *self._flows.on_agent_restarted(peer, silent_since=silent_since, now=now),
+            *self._dissemination.on_agent_message(peer),
+            *self._flows.on_agent_restarted(peer, silent_since=last_seen_at, now=now),
         ]
 
     def on_due(self, now: float) -> float:
@@ -340,9 +344,9 @@
 
     def _fetch_if_newer(self, peer: Peer, now: float) -> None:
         is_due = self._catch_up.is_due(
-            told=peer.configuration_version,
+            announced=peer.configuration_version,
             held=self.configuration_version,
-            moved_at=self._follower.transfer.moved_at,
+            last_progress_at=self._follower.transfer.moved_at,
             is_failing=self._follower.is_failing,
             now=now,
         )
@@ -389,7 +393,7 @@
         if self._peer_client is not None:
             self._peer_client.close()
 
-    def answer_peer(self, request: HttpRequest) -> HttpReply:
+    def handle_peer_request(self, request: HttpRequest) -> HttpReply:
         """Serves configuration and evacuations to peers, stores agents' snapshots."""
         if request.path == CONFIGURATION_PATH:
             value = self._configuration_value
@@ -399,21 +403,21 @@
         self.log.metrics.set_gauge("evacuations_revision", current.revision)
         if request.path == EVACUATIONS_PATH:
             return HttpReply(200, encode_evacuations(current))
-        if request.path.startswith(FLOW_LIST_PATH):
+        if request.path.startswith(SNAPSHOT_PATH):
             return self._store_flow_snapshot(request)
-        return super().answer_peer(request)
+        return super().handle_peer_request(request)
 
     def _store_flow_snapshot(self, request: HttpRequest) -> HttpReply:
-        member_id = request.path.removeprefix(FLOW_LIST_PATH)
+        member_id = request.path.removeprefix(SNAPSHOT_PATH)
         if not 0 < len(member_id) <= MAX_MEMBER_ID_LENGTH:
             self.log.decision("flow list refused", reason="name", path=request.path)
             return HttpReply(400)
-        is_retry = request.query == AGAIN_QUERY
-        write = self._snapshot_writer.hand_over(
-            member_id, request.body, is_again=is_retry
+        is_unchanged = request.query == UNCHANGED_QUERY
+        write = self._snapshot_writer.submit(
+            member_id, request.body, is_unchanged=is_unchanged
         )
         try:
-            return HttpReply(200 if write.result(WRITTEN_SECONDS) else 503)
+            return HttpReply(200 if write.result(WRITE_TIMEOUT_SECONDS) else 503)
         except TimeoutError:
             # The snapshot may still be written; the agent uploads it again.
             return HttpReply(503)
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -310,7 +310,7 @@
         query = encode_owner_query(OwnerQuery(record.flow, record.acknowledged))
         actions: list[ToPeer] = []
         for agent in agents:
-            self._fleet.asked(agent, now=now)
+            self._fleet.record_query(agent, now=now)
             if agent.member.member_id in lookup.queried_without_packets:
                 actions.append(ToPeer(agent.address, query))
             else:
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -215,9 +215,9 @@
         awaited = []
         for member_id in sorted(self.pending):
             peer = fleet.peers_by_id.get(member_id)
-            if peer is None or (is_window_over and peer.is_silent(now=now)):
+            if peer is None or (is_window_over and peer.is_unresponsive(now=now)):
                 self.pending.discard(member_id)
-                if peer is not None and peer.held_none:
+                if peer is not None and peer.was_idle:
                     self.denied.add(member_id)
             else:
                 awaited.append(peer)
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -81,12 +81,14 @@
         ready = [a for a in allowed if a.member.state is MemberState.READY]
         # A saturated link drops the heartbeats of all agents. If none is responsive,
         # they are probably healthy, and refusing callers would leave upstreams idle.
-        responsive = [a for a in ready if not a.is_silent(now=now)] or ready
+        responsive = [a for a in ready if not a.is_unresponsive(now=now)] or ready
         eligible = [a for a in responsive if a.member.member_id not in attempted]
         if not eligible:
             return None
         trusted = [
-            agent for agent in eligible if agent.unanswered < SUSPECTED_AFTER_UNANSWERED
+            agent
+            for agent in eligible
+            if agent.unanswered_openings < SUSPECTED_AFTER_UNANSWERED
         ]
         candidates = trusted or eligible
         local = [a for a in candidates if self._is_local(a)]
@@ -107,7 +109,7 @@
         Args:
             agent: The agent.
         """
-        return self._evacuations.covers(agent.member.failure_domain)
+        return self._evacuations.is_evacuated(agent.member.failure_domain)
 
     def _is_local(self, agent: Peer) -> bool:
         return agent.member.failure_domain == self._failure_domain
@@ -130,6 +132,6 @@
         Load for each slot at full weight; it is scaled up for a cold upstream.
     """
     load = agent.load
-    work = load.flows + agent.placed + RUNNING_WEIGHT * load.running
+    work = load.flows + agent.flows_since_load + RUNNING_WEIGHT * load.running
     capacity = agent.member.slots * max(1, agent.member.weight) / FULL_WEIGHT
     return (work + 1) / capacity
--- a/src/siskinshift/connections/store_contact.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -1,4 +1,4 @@
-"""What a task of a node knows of its contact with the store."""
+"""Tracks whether a task of a node reaches the store."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     from siskinshift.observability.event_log import EventLog
 
 
-class StoreContact:
-    """Tells of the store's loss and return once each, and paces the tries between."""
+class StoreAvailability:
+    """Logs the loss and the recovery of the store, and paces the attempts between."""
 
     def __init__(
         self, subject: str, *, retry: Backoff, random: Random, log: EventLog
     ) -> None:
-        """Starts in contact.
+        """Initializes the state as available.
 
         Args:
-            subject: What is lost and regained, the first word of both lines.
-            retry: Pauses between tries.
+            subject: First word of both log events.
+            retry: Pauses between attempts.
             random: Source of the jitter.
-            log: Takes the lines.
+            log: Event log.
         """
         self._subject = subject
         self._retry = retry
@@ -33,26 +33,26 @@
         self._failures = 0
 
     @property
-    def is_lost(self) -> bool:
-        """Whether the last call failed."""
+    def is_unavailable(self) -> bool:
+        """Whether the last request failed."""
         return self._failures > 0
 
-    def failed(self, error: Exception) -> float:
-        """Takes note of a call that failed.
+    def record_failure(self, error: Exception) -> float:
+        """Records a failed request.
 
         Args:
-            error: Why.
+            error: The error.
 
         Returns:
-            Seconds until the next try.
+            Seconds until the next attempt.
         """
         if not self._failures:
             self._log.fact(f"{self._subject} lost", error=str(error))
         self._failures += 1
         return self._retry.pause(self._failures, self._random)
 
-    def succeeded(self) -> None:
-        """Takes note of a call that was answered."""
+    def record_success(self) -> None:
+        """Records a successful request."""
         if not self._failures:
             return
         self._log.fact(f"{self._subject} regained", failures=self._failures)
