--- a/src/siskinshift/membership/__init__.py
+++ b/src/siskinshift/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Who is there, and in which state."""
+"""Tracks the members of the deployment and detects failed ones."""
 
 from __future__ import annotations
--- a/src/siskinshift/membership/actions.py
+++ b/src/siskinshift/membership/actions.py
@@ -1,4 +1,4 @@
-"""What membership decisions ask their runner to do."""
+"""Defines the messages between processes and the calls that send them."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @frozen
 class Call:
-    """A message to send; the runner reports the reply or the failure.
+    """A message to send over HTTP; the sender reports the reply or the failure.
 
     Attributes:
         endpoint: Control endpoint of the receiver.
--- a/src/siskinshift/membership/agent.py
+++ b/src/siskinshift/membership/agent.py
@@ -1,4 +1,7 @@
-"""Membership as an agent takes part in it: it knows its class and its watchers."""
+"""Runs the agent's part of the membership protocol.
+
+An agent sends heartbeats to its watchers and gets the records of its class in reply.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from siskinshift.membership.announcer import Announcer
 from siskinshift.membership.table import MemberTable
-from siskinshift.membership.table import hash_text
+from siskinshift.membership.table import format_hash
 from siskinshift.membership.table import stamp_of
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.membership import Compare
@@ -35,12 +38,12 @@
     from siskinshift.settings.generated import MembershipSettings
 
 
-# A watcher that lags may not have heard yet of a peer that another one told of.
-LAG_SECONDS = 5.0
+# A lagging watcher may not have a peer yet that another watcher has already sent.
+MAX_WATCHER_LAG_SECONDS = 5.0
 
 
 class AgentMembership:
-    """Announces an agent and learns of its peers from the watchers' replies.
+    """Announces an agent and receives its peers in the watchers' replies.
 
     Attributes:
         table: The agent itself, its class and the services of its class.
@@ -54,11 +57,11 @@
         settings: MembershipSettings,
         random: random.Random,
     ) -> None:
-        """Prepares an agent that knows only itself.
+        """Initializes the membership with the agent itself as the only member.
 
         Args:
             own: State of the agent.
-            services: Where its services are kept.
+            services: Configuration of the process.
             settings: Intervals and seeds.
             random: Source of jitter.
         """
@@ -66,29 +69,29 @@
         self._announcer = Announcer(own=own, settings=settings, random=random)
         self.table = MemberTable(services)
         self.table.merge(self._announcer.own, now=0.0)
-        self._learned_at_by_id: dict[str, float] = {}
+        self._updated_at_by_id: dict[str, float] = {}
 
     @property
     def own(self) -> Member:
-        """What the agent says of itself."""
+        """State that the agent announces of itself."""
         return self._announcer.own
 
     @property
     def watchers(self) -> tuple[Endpoint, ...]:
-        """Control endpoints of its watchers."""
+        """Control endpoints of the agent's watchers."""
         return self._announcer.watchers
 
-    def watched_by(self, endpoints: Iterable[Endpoint], *, now: float) -> None:
-        """Takes the watchers to announce to.
+    def set_watchers(self, endpoints: Iterable[Endpoint], *, now: float) -> None:
+        """Replaces the watchers that heartbeats are sent to.
 
         Args:
             endpoints: Their control endpoints.
             now: Clock reading, seconds.
         """
-        self._announcer.watched_by(endpoints, now=now)
+        self._announcer.set_watchers(endpoints, now=now)
 
     def due(self, now: float) -> list[Call]:
-        """Lists the heartbeats to send now.
+        """Returns the heartbeats to send now.
 
         Args:
             now: Clock reading, seconds.
@@ -96,11 +99,11 @@
         Returns:
             The calls.
         """
-        self.table.forget(older_than=now - self._settings.forget_after)
+        self.table.expire_gone(older_than=now - self._settings.forget_after)
         return self._announcer.due(now, self._view_hash())
 
     def next_due(self) -> float:
-        """Tells when `due` should be called next.
+        """Returns when `due` should be called next.
 
         Returns:
             Clock reading, seconds.
@@ -108,7 +111,7 @@
         return self._announcer.next_due()
 
     def handle(self, message: Message, *, now: float) -> Reply:
-        """Answers a probe; anything else is for balancers and gets an empty answer.
+        """Replies to a probe; other messages are for balancers and get an empty reply.
 
         Args:
             message: The message.
@@ -138,7 +141,7 @@
                 return CompareReply()
 
     def on_reply(self, call: Call, reply: Reply, *, now: float) -> list[Call]:
-        """Takes what a watcher told.
+        """Handles a watcher's reply.
 
         Args:
             call: The heartbeat.
@@ -146,7 +149,7 @@
             now: Clock reading, seconds.
 
         Returns:
-            Nothing follows at once.
+            Always an empty list, since an agent sends no further calls.
         """
         if not isinstance(reply, HeartbeatReply):
             return []
@@ -155,15 +158,15 @@
         if reply.known is not None and self._announcer.refute(reply.known, now=now):
             self.table.merge(self.own, now=now)
         if reply.watchers:
-            self._announcer.watched_by(reply.watchers, now=now)
-        self._learn(reply, now)
+            self._announcer.set_watchers(reply.watchers, now=now)
+        self._apply_update(reply, now)
         self._announcer.on_reply(
-            call.endpoint, call.message, wanted=reply.wanted, now=now
+            call.endpoint, call.message, is_state_requested=reply.wanted, now=now
         )
         return []
 
     def on_failure(self, call: Call, *, now: float) -> None:
-        """Takes note that a watcher did not answer.
+        """Handles a heartbeat that got no reply.
 
         Args:
             call: The heartbeat.
@@ -179,13 +182,13 @@
         now: float,
         entry_slot: int | None = None,
     ) -> None:
-        """Changes what the agent says of itself.
+        """Changes the state that the agent announces of itself.
 
         Args:
             state: New state.
             weight: New weight, 0 to 1000.
             now: Clock reading, seconds.
-            entry_slot: New revision of the entry slot held; None to keep it.
+            entry_slot: New revision of the entry slot held; None leaves it unchanged.
         """
         self._announcer.change(
             state=state, weight=weight, now=now, entry_slot=entry_slot
@@ -193,38 +196,41 @@
         self.table.merge(self.own, now=now)
 
     def services_changed(self, *, now: float) -> None:
-        """Takes records that were merged into the services from elsewhere.
+        """Indexes records that other modules merged into the services.
 
         Args:
             now: Clock reading, seconds.
         """
-        self.table.take_services()
+        self.table.index_merged_services()
 
     def _view_hash(self) -> str:
         records = self.table.class_records(self.own.upstream_class)
-        return hash_text(records.state_hash)
+        return format_hash(records.state_hash)
 
-    def _learn(self, reply: HeartbeatReply, now: float) -> None:
+    def _apply_update(self, reply: HeartbeatReply, now: float) -> None:
         for member in reply.members:
             if member.member_id == self.own.member_id:
                 if self._announcer.refute(stamp_of(member), now=now):
                     self.table.merge(self.own, now=now)
                 continue
             if self.table.merge(member, now=now):
-                self._learned_at_by_id[member.member_id] = now
+                self._updated_at_by_id[member.member_id] = now
         for service in reply.services:
             self.table.merge_service(service)
         if reply.complete:
-            self._drop_missing({member.member_id for member in reply.members}, now)
+            self._remove_unlisted({member.member_id for member in reply.members}, now)
 
-    def _drop_missing(self, told: set[str], now: float) -> None:
-        # Failure: a peer went and was forgotten while this agent was cut off; no
-        # watcher remembers it, so nobody would ever say that it is gone.
+    def _remove_unlisted(self, listed_ids: set[str], now: float) -> None:
+        # Failure: a peer left and expired while this agent was partitioned. No
+        # watcher has it any more, so none would ever report it as gone.
         for member_id, member in tuple(self.table.members_by_id.items()):
-            if member_id in told or member_id == self.own.member_id:
+            if member_id in listed_ids or member_id == self.own.member_id:
                 continue
             if member.state is MemberState.GONE:
                 continue
-            if now - self._learned_at_by_id.get(member_id, 0.0) > LAG_SECONDS:
-                self.table.drop(member_id)
-                self._learned_at_by_id.pop(member_id, None)
+            if (
+                now - self._updated_at_by_id.get(member_id, 0.0)
+                > MAX_WATCHER_LAG_SECONDS
+            ):
+                self.table.remove(member_id)
+                self._updated_at_by_id.pop(member_id, None)
--- a/src/siskinshift/membership/announcer.py
+++ b/src/siskinshift/membership/announcer.py
@@ -1,4 +1,4 @@
-"""Announces a process to its watchers; the same for agents and balancers."""
+"""Sends the heartbeats of an agent or balancer to its watchers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.membership.actions import Call
 from siskinshift.membership.ordering import own_version_above
-from siskinshift.membership.table import hash_text
+from siskinshift.membership.table import format_hash
 from siskinshift.membership.table import stamp_of
 from siskinshift.messages.membership import Heartbeat
 from siskinshift.messages.membership import Stamp
@@ -27,11 +27,11 @@
     from siskinshift.settings.generated import MembershipSettings
 
 
-# A lost heartbeat is sent again soon: three tries fit into the silence allowed.
+# A lost heartbeat is sent again soon: three attempts fit into the failure timeout.
 RETRY_SECONDS = 0.05
 QUICK_RETRIES = 2
-BACKOFF_MAXIMUM_SECONDS = 4.0
-# Shortens pauses at random, so that members that started together drift apart.
+MAX_BACKOFF_SECONDS = 4.0
+# Shortens each interval at random, so that members that started together spread out.
 INTERVAL_JITTER = 0.1
 
 
@@ -43,8 +43,8 @@
     acknowledged: Stamp | None = None
 
 
-def hash_of_watchers(endpoints: Iterable[Endpoint]) -> str:
-    """Hashes a set of watchers whatever its order.
+def hash_watchers(endpoints: Iterable[Endpoint]) -> str:
+    """Hashes a set of watchers independently of their order.
 
     Args:
         endpoints: Their control endpoints.
@@ -53,20 +53,20 @@
         The hash as text.
     """
     text = "\n".join(sorted(format_endpoint(endpoint) for endpoint in endpoints))
-    return hash_text(xxhash.xxh3_64_intdigest(text.encode()))
+    return format_hash(xxhash.xxh3_64_intdigest(text.encode()))
 
 
 class Announcer:
-    """Decides when to send a heartbeat to whom.
+    """Schedules and builds the heartbeats to each watcher.
 
     Attributes:
-        own: What the process says of itself.
+        own: State that the process announces of itself.
     """
 
     def __init__(
         self, *, own: Member, settings: MembershipSettings, random: random.Random
     ) -> None:
-        """Prepares an announcer without watchers; seeds will name them.
+        """Initializes an announcer without watchers; seeds reply with them.
 
         Args:
             own: State of the process.
@@ -81,11 +81,11 @@
         self._watchers_hash = ""
         self._seed_at: float | None = None
         self._seed_failures = 0
-        self._seed_call: Endpoint | None = None
+        self._queried_seed: Endpoint | None = None
 
     @property
     def watchers(self) -> tuple[Endpoint, ...]:
-        """Watchers announced to."""
+        """Watchers that heartbeats are sent to."""
         return tuple(self._targets_by_endpoint)
 
     def change(
@@ -96,14 +96,14 @@
         now: float,
         entry_slot: int | None = None,
     ) -> None:
-        """Changes the own state and makes every watcher due at once.
+        """Changes the own state and sends it to every watcher at once.
 
         Args:
             state: New state.
             weight: New weight, 0 to 1000.
             now: Clock reading, seconds.
-            entry_slot: New revision of the entry slot held, 0 for none; None to keep
-                what was said last.
+            entry_slot: New revision of the entry slot held, 0 for none; None leaves it
+                unchanged.
         """
         self.own = attrs.evolve(
             self.own,
@@ -112,35 +112,35 @@
             version=own_version_above(self.own.version),
             entry_slot=self.own.entry_slot if entry_slot is None else entry_slot,
         )
-        self._hurry(now)
+        self._schedule_all(now)
 
     def refute(self, known: Stamp, *, now: float) -> bool:
-        """Answers a state that others hold of this process.
+        """Refutes a newer state that peers have of this process.
 
         Failure: a live member was expelled, or an earlier process of the same name
-        had a clock that ran ahead; peers would pass over all it says. The guard
-        raises the own state above what they hold.
+        had a clock that ran ahead; peers would ignore all its states. The own state
+        is therefore raised above the one that they have.
 
         Args:
-            known: What others hold.
+            known: Stamp of the state that peers have.
             now: Clock reading, seconds.
 
         Returns:
             Whether the own state had to change.
         """
-        held = (known.incarnation, known.version)
-        if held <= (self.own.incarnation, self.own.version):
+        known_version = (known.incarnation, known.version)
+        if known_version <= (self.own.incarnation, self.own.version):
             return False
         if known.incarnation == self.own.incarnation:
             version = own_version_above(known.version)
             self.own = attrs.evolve(self.own, version=version)
         else:
             self.own = attrs.evolve(self.own, incarnation=known.incarnation + 1)
-        self._hurry(now)
+        self._schedule_all(now)
         return True
 
-    def watched_by(self, endpoints: Iterable[Endpoint], *, now: float) -> None:
-        """Takes the watchers to announce to.
+    def set_watchers(self, endpoints: Iterable[Endpoint], *, now: float) -> None:
+        """Replaces the watchers that heartbeats are sent to.
 
         Args:
             endpoints: Their control endpoints.
@@ -149,22 +149,23 @@
         wanted = [endpoint for endpoint in endpoints if endpoint != self.own.control]
         targets = self._targets_by_endpoint
         interval = self._settings.heartbeat_interval
-        kept = {endpoint: targets.get(endpoint) for endpoint in wanted}
-        # New ones are spread over a short while: the change is the same for many
-        # members when a balancer dies, and the successor would hear all at once.
+        current_targets = {endpoint: targets.get(endpoint) for endpoint in wanted}
+        # The first heartbeats to new watchers are spread over a quarter interval. When
+        # a balancer dies, many members get the same new watcher, which would otherwise
+        # receive all of them at once.
         self._targets_by_endpoint = {
             endpoint: target
             or _Target(next_at=now + self._random.uniform(0, interval / 4))
-            for endpoint, target in kept.items()
+            for endpoint, target in current_targets.items()
         }
-        self._watchers_hash = hash_of_watchers(self._targets_by_endpoint)
+        self._watchers_hash = hash_watchers(self._targets_by_endpoint)
 
     def due(self, now: float, view_hash: str) -> list[Call]:
-        """Lists the heartbeats to send now.
+        """Returns the heartbeats to send now.
 
         Args:
             now: Clock reading, seconds.
-            view_hash: Hash of what an agent knows of its class.
+            view_hash: Hash of an agent's records of its class; empty for a balancer.
 
         Returns:
             The calls.
@@ -181,33 +182,38 @@
         return calls
 
     def next_due(self) -> float:
-        """Tells when `due` should be called next.
+        """Returns when `due` should be called next.
 
         Returns:
-            Clock reading, seconds; infinity when nothing is to be sent.
+            Clock reading, seconds; infinity when nothing is scheduled.
         """
         times = [
             target.next_at
             for target in self._targets_by_endpoint.values()
             if not target.in_flight
         ]
-        if self._seed_call is None and self._needs_seed():
+        if self._queried_seed is None and self._is_seed_needed():
             times.append(self._seed_at or 0.0)
         return min(times, default=float("inf"))
 
     def on_reply(
-        self, endpoint: Endpoint, heartbeat: Heartbeat, *, wanted: bool, now: float
+        self,
+        endpoint: Endpoint,
+        heartbeat: Heartbeat,
+        *,
+        is_state_requested: bool,
+        now: float,
     ) -> None:
-        """Takes note that a receiver answered.
+        """Schedules the next heartbeat to a receiver that replied.
 
         Args:
             endpoint: The receiver.
-            heartbeat: What it was sent.
-            wanted: Whether it asked for the whole state.
+            heartbeat: The heartbeat that it replied to.
+            is_state_requested: Whether it requested the member's state.
             now: Clock reading, seconds.
         """
-        if endpoint == self._seed_call:
-            self._seed_call = None
+        if endpoint == self._queried_seed:
+            self._queried_seed = None
             self._seed_failures = 0
             self._seed_at = now + self._settings.heartbeat_interval
         target = self._targets_by_endpoint.get(endpoint)
@@ -216,7 +222,7 @@
         target.in_flight = False
         target.failures = 0
         target.next_at = max(now, target.next_at + self._interval())
-        if wanted:
+        if is_state_requested:
             target.acknowledged = None
             target.next_at = now
         elif heartbeat.member is not None:
@@ -225,14 +231,14 @@
             target.next_at = now
 
     def on_failure(self, endpoint: Endpoint, *, now: float) -> None:
-        """Takes note that a receiver did not answer.
+        """Schedules a retry to a receiver that did not reply.
 
         Args:
             endpoint: The receiver.
             now: Clock reading, seconds.
         """
-        if endpoint == self._seed_call:
-            self._seed_call = None
+        if endpoint == self._queried_seed:
+            self._queried_seed = None
             self._seed_failures += 1
             self._seed_at = now + self._backoff(self._seed_failures)
         target = self._targets_by_endpoint.get(endpoint)
@@ -243,39 +249,39 @@
         target.acknowledged = None
         target.next_at = now + self._backoff(target.failures)
 
-    def _hurry(self, now: float) -> None:
+    def _schedule_all(self, now: float) -> None:
         for target in self._targets_by_endpoint.values():
             target.next_at = now
 
     def _heartbeat(self, target: _Target | None, view_hash: str) -> Heartbeat:
         own = self.own
-        knows = target is not None and target.acknowledged == stamp_of(own)
+        is_acknowledged = target is not None and target.acknowledged == stamp_of(own)
         return Heartbeat(
             member_id=own.member_id,
             incarnation=own.incarnation,
             version=own.version,
             view_hash=view_hash,
             watchers_hash=self._watchers_hash,
-            member=None if knows else own,
+            member=None if is_acknowledged else own,
         )
 
-    def _needs_seed(self) -> bool:
+    def _is_seed_needed(self) -> bool:
         return bool(self._seeds) and all(
             target.failures > QUICK_RETRIES
             for target in self._targets_by_endpoint.values()
         )
 
     def _due_seed(self, now: float) -> Endpoint | None:
-        if not self._needs_seed() or self._seed_call is not None:
+        if not self._is_seed_needed() or self._queried_seed is not None:
             return None
         if self._seed_at is None:
-            # A rack or a fleet that starts at once spreads its first calls.
+            # Spreads the first calls when a rack or a whole fleet starts at once.
             jitter = self._random.uniform(0, self._settings.start_jitter)
             self._seed_at = now + jitter
         if self._seed_at > now:
             return None
-        self._seed_call = self._random.choice(self._seeds)
-        return self._seed_call
+        self._queried_seed = self._random.choice(self._seeds)
+        return self._queried_seed
 
     def _interval(self) -> float:
         shortened = 1.0 - self._random.uniform(0, INTERVAL_JITTER)
@@ -283,5 +289,5 @@
 
     def _backoff(self, failures: int) -> float:
         doublings = max(0, min(failures, 10) - QUICK_RETRIES)
-        pause = min(RETRY_SECONDS * 2.0**doublings, BACKOFF_MAXIMUM_SECONDS)
+        pause = min(RETRY_SECONDS * 2.0**doublings, MAX_BACKOFF_SECONDS)
         return pause * self._random.uniform(0.5, 1.0)
--- a/src/siskinshift/membership/assignment.py
+++ b/src/siskinshift/membership/assignment.py
@@ -1,10 +1,11 @@
-"""Which balancers watch a member: rendezvous hashing over failure domains.
-
-The region of the member is asked first, so that a cut between regions silences
-nobody. Its failure domains are ranked by rendezvous and the watchers are dealt
-round over them; within a domain the balancers are ranked by rendezvous again.
-Every process with the same balancers in view names the same watchers, and a
-change of one balancer moves only what that balancer watched or now watches.
+"""Assigns watchers to members by rendezvous hashing over failure domains.
+
+A member is watched from its own region while that has balancers, so that a partition
+between regions makes no member unresponsive. The region's failure domains are ranked
+by rendezvous hashing and the watchers are distributed over them in turn. Within a
+domain the balancers are ranked by rendezvous hashing again. All processes that have
+the same balancers in their tables get the same watchers, and a change of one balancer
+moves only the members that it watched or now watches.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         name: Region and failure domain.
         seed: Hash of the name.
         balancers: The balancers, ordered by id.
-        seeds: Hash of each one's id.
+        seeds: Hash of each balancer's id.
     """
 
     name: str
@@ -53,13 +54,13 @@
 
 
 class WatcherAssignment:
-    """Names the watchers of members for one set of balancers."""
+    """Computes the watchers of members for one set of balancers."""
 
     def __init__(self, members: Iterable[Member]) -> None:
         """Indexes the balancers.
 
         Args:
-            members: Known members; others than live balancers are passed over.
+            members: Known members; all but live balancers are ignored.
         """
         self._domains_by_region: dict[str, dict[str, DomainBalancers]] = {}
         self._all_domains: dict[str, DomainBalancers] = {}
@@ -72,59 +73,63 @@
             self._add(balancer)
 
     def watchers_of(self, member: Member) -> tuple[Member, ...]:
-        """Names a member's watchers.
+        """Returns a member's watchers.
 
         Args:
             member: The member; it never watches itself.
 
         Returns:
-            Up to WATCHER_COUNT balancers, the first domain's first.
+            Up to WATCHER_COUNT balancers, in the order of the ranked domains.
         """
         key = member.member_id.encode()
         watchers: list[Member] = []
         for domain, quota in self._quotas(member, key):
-            watchers += self.ranked(domain, member.member_id, key)[:quota]
+            watchers += self.rank_balancers(domain, member.member_id, key)[:quota]
         return tuple(watchers)
 
-    def watches(self, balancer: Member, member: Member) -> bool:
-        """Tells whether a balancer is a member's watcher, without ranking all.
+    def is_watcher(self, balancer: Member, member: Member) -> bool:
+        """Returns whether a balancer watches a member.
+
+        Only the balancers of the balancer's own domain are ranked.
 
         Args:
             balancer: The balancer.
             member: The member.
 
         Returns:
-            Whether it is.
+            Whether the balancer is one of the member's watchers.
         """
         key = member.member_id.encode()
         for domain, quota in self._quotas(member, key):
             if domain.name != domain_of(balancer):
                 continue
-            ranked = self.ranked(domain, member.member_id, key)[:quota]
-            return any(one.member_id == balancer.member_id for one in ranked)
+            ranked = self.rank_balancers(domain, member.member_id, key)[:quota]
+            return any(watcher.member_id == balancer.member_id for watcher in ranked)
         return False
 
-    def key_for(self, balancer: Member) -> object:
-        """Sums up all that a balancer's own part of the watching depends on.
+    def assignment_key(self, balancer: Member) -> object:
+        """Returns a key of all that determines which members a balancer watches.
 
         Args:
             balancer: The balancer.
 
         Returns:
-            A value that is equal while the part can't have changed.
+            A value that stays equal while these members can't have changed.
         """
         own_name = domain_of(balancer)
         own = self._all_domains.get(own_name)
-        ids = tuple(one.member_id for one in own.balancers) if own else ()
+        ids = tuple(peer.member_id for peer in own.balancers) if own else ()
         return (tuple(sorted(self._all_domains)), ids)
 
-    def ranked(self, domain: DomainBalancers, own_id: str, key: bytes) -> list[Member]:
+    def rank_balancers(
+        self, domain: DomainBalancers, own_id: str, key: bytes
+    ) -> list[Member]:
         """Ranks the balancers of one failure domain for a member.
 
         Args:
             domain: The failure domain.
-            own_id: The member's id; it is left out.
-            key: The same as bytes.
+            own_id: The member's id; the member itself is left out.
+            key: The member's id as bytes.
 
         Returns:
             The first WATCHER_COUNT.
--- a/src/siskinshift/membership/class_updates.py
+++ b/src/siskinshift/membership/class_updates.py
@@ -1,4 +1,4 @@
-"""Updates that a watcher sends the agents of a class, of peers and services."""
+"""Builds the updates of peers and services that a watcher sends to agents."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import define
 from attrs import frozen
 
-from siskinshift.membership.table import hash_text
+from siskinshift.membership.table import format_hash
 from siskinshift.messages.core import Member
 from siskinshift.messages.core import Service
 
@@ -19,9 +19,9 @@
 
 
 @define(eq=False)
-class _Sent:
+class _LastUpdate:
     revision: int
-    was_hash: str
+    view_hash: str
 
 
 @frozen
@@ -43,64 +43,69 @@
 
 
 class ClassUpdater:
-    """Chooses between the last changes of a class and all of it.
+    """Sends an agent either the last changes of its class or the whole class.
 
-    An agent sends the hash of what it knows with each heartbeat. When it differs,
-    a watcher sends the changes since its last update; when the same hash
-    comes again, the difference is another one, and the whole class is sent.
+    An agent sends the hash of its records with each heartbeat. When the hash differs
+    from the watcher's, the watcher sends the changes since its last update. When the
+    agent sends the same hash again, these changes did not remove the difference, and
+    the whole class is sent.
     """
 
     def __init__(self, table: MemberTable) -> None:
-        """Has sent nothing yet.
+        """Initializes an updater that has sent no update yet.
 
         Args:
-            table: What the watcher knows.
+            table: Records of the watcher.
         """
         self._table = table
-        self._sent_by_id: dict[str, _Sent] = {}
+        self._last_updates_by_id: dict[str, _LastUpdate] = {}
 
-    def forget(self, agent_id: str) -> None:
-        """Drops what is kept for an agent.
+    def remove_agent(self, agent_id: str) -> None:
+        """Removes the last update of an agent.
 
         Args:
             agent_id: The agent.
         """
-        self._sent_by_id.pop(agent_id, None)
+        self._last_updates_by_id.pop(agent_id, None)
 
     def update_for(
         self, agent_id: str, upstream_class: str, view_hash: str
     ) -> ClassUpdate:
-        """Lists what an agent lacks.
+        """Returns the records that an agent lacks.
 
         Args:
             agent_id: The agent.
             upstream_class: Its class.
-            view_hash: Hash of what it knows.
+            view_hash: Hash of the agent's records.
 
         Returns:
             The records.
         """
         records = self._table.class_records(upstream_class)
-        sent = self._sent_by_id.get(agent_id)
-        self._sent_by_id[agent_id] = _Sent(self._table.revision, view_hash)
-        if view_hash == hash_text(records.state_hash):
+        last_update = self._last_updates_by_id.get(agent_id)
+        self._last_updates_by_id[agent_id] = _LastUpdate(
+            self._table.revision, view_hash
+        )
+        if view_hash == format_hash(records.state_hash):
             return NO_UPDATE
-        repeated = sent is None or sent.was_hash == view_hash
+        repeated = last_update is None or last_update.view_hash == view_hash
         changes = records.changes
-        if not records.is_large() or repeated or sent is None or not changes:
-            return self._whole(upstream_class)
-        if changes[0].revision > sent.revision + 1:
-            return self._whole(upstream_class)
-        fresh = [change for change in changes if change.revision > sent.revision]
-        members = {change.key for change in fresh if not change.is_service}
-        services = {change.key for change in fresh if change.is_service}
-        return self._records(members, services, complete=False)
-
-    def _whole(self, upstream_class: str) -> ClassUpdate:
+        if not records.is_large() or repeated or last_update is None or not changes:
+            return self._full_update(upstream_class)
+        if changes[0].revision > last_update.revision + 1:
+            return self._full_update(upstream_class)
+        unsent = [
+            change for change in changes if change.revision > last_update.revision
+        ]
+        members = {change.key for change in unsent if not change.is_service}
+        services = {change.key for change in unsent if change.is_service}
+        return self._make_update(members, services, complete=False)
+
+    def _full_update(self, upstream_class: str) -> ClassUpdate:
         records = self._table.class_records(upstream_class)
-        return self._records(records.member_ids, records.service_ids, complete=True)
+        return self._make_update(records.member_ids, records.service_ids, complete=True)
 
-    def _records(
+    def _make_update(
         self,
         member_ids: Collection[str],
         service_ids: Collection[str],
--- a/src/siskinshift/membership/comparison.py
+++ b/src/siskinshift/membership/comparison.py
@@ -1,9 +1,10 @@
-"""Slow comparison of the whole state with another balancer (anti-entropy).
+"""Compares the whole state with another balancer periodically (anti-entropy).
 
-News that was lost with the process that should have passed it on, a start without
-any state, and a merge after a cut are all healed here. While two processes agree a
-comparison costs one hash; where they differ, the hashes of 64 buckets, then names
-of the records of a few buckets at a time, then only the records that differ.
+This repairs updates lost with the process that should have passed them on, fills the
+table of a process that starts without state, and merges both sides of a partition.
+While two processes agree, a comparison costs one hash. Where they differ it costs
+the hashes of 64 buckets, then the stamps of the records of a few buckets at a time,
+then only the records that differ.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from attrs import define
 
 from siskinshift.membership.actions import Call
-from siskinshift.membership.table import hash_text
+from siskinshift.membership.table import format_hash
 from siskinshift.membership.table import service_stamp_of
 from siskinshift.membership.table import stamp_of
 from siskinshift.messages.core import Endpoint
@@ -36,10 +37,10 @@
     from siskinshift.settings.generated import MembershipSettings
 
 
-BUCKETS_PER_CALL = 4
-# One partner in so many is taken from those gone or from the seeds: only they can
-# lead back to the other side after a cut in which both sides expelled each other.
-OUTSIDE_EVERY = 4
+BUCKETS_PER_MESSAGE = 4
+# One partner in this many is chosen from the gone balancers and the seeds: only these
+# lead back to the other side of a partition in which both sides expelled each other.
+FALLBACK_PERIOD = 4
 RETRY_SECONDS = 0.5
 
 
@@ -49,44 +50,45 @@
     buckets: list[int]
 
 
-def answer_digest(table: MemberTable, digest: Digest) -> DigestReply:
-    """Answers the opening of a comparison.
+def reply_to_digest(table: MemberTable, digest: Digest) -> DigestReply:
+    """Replies to the message that opens a comparison.
 
     Args:
-        table: What this process knows.
-        digest: Hash of what the other knows.
+        table: Records of this process.
+        digest: Hash of the sender's records.
 
     Returns:
         Hashes by bucket when the states differ.
     """
-    if digest.state_hash == hash_text(table.state_hash):
+    if digest.state_hash == format_hash(table.state_hash):
         return DigestReply()
     return DigestReply(bucket_hashes=table.bucket_hashes)
 
 
-def answer_compare(table: MemberTable, compare: Compare) -> CompareReply:
+def reply_to_compare(table: MemberTable, compare: Compare) -> CompareReply:
     """Compares some buckets record by record.
 
     Args:
-        table: What this process knows.
-        compare: Names of what the other knows.
+        table: Records of this process.
+        compare: Stamps of the sender's records.
 
     Returns:
-        What the other lacks, and names of what this process lacks.
+        The records that the sender lacks, and the keys of those that this process
+        lacks.
     """
-    theirs = {stamp.key: stamp for stamp in compare.members}
-    their_services = {stamp.key: stamp for stamp in compare.services}
+    stamps_by_member_id = {stamp.key: stamp for stamp in compare.members}
+    stamps_by_service_id = {stamp.key: stamp for stamp in compare.services}
     members = [
         member
         for bucket in compare.buckets
-        for member in table.members_in(bucket)
-        if _is_news(member, theirs.get(member.member_id))
+        for member in table.members_in_bucket(bucket)
+        if _is_member_newer(member, stamps_by_member_id.get(member.member_id))
     ]
     services = [
         service
         for bucket in compare.buckets
-        for service in table.services_in(bucket)
-        if _is_service_news(service, their_services.get(service.service_id))
+        for service in table.services_in_bucket(bucket)
+        if _is_service_newer(service, stamps_by_service_id.get(service.service_id))
     ]
     return CompareReply(
         members=tuple(members),
@@ -101,7 +103,7 @@
 
 
 class Comparison:
-    """Decides when to compare with whom; one comparison at a time."""
+    """Chooses when to compare with which partner; one comparison at a time."""
 
     def __init__(
         self,
@@ -111,11 +113,11 @@
         settings: MembershipSettings,
         random: random.Random,
     ) -> None:
-        """Prepares the first comparison, which is due after a short random while.
+        """Initializes the comparison; the first one is due after a random delay.
 
         Args:
             own: State of the process.
-            table: What the process knows.
+            table: Records of the process.
             settings: Interval and seeds.
             random: Source of jitter and partners.
         """
@@ -131,11 +133,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a comparison with anyone has ever been finished."""
+        """Whether a comparison with any partner has ever completed."""
         return self._is_complete
 
     def due(self, now: float) -> list[Call]:
-        """Opens a comparison when it is time.
+        """Opens a comparison when one is due.
 
         Args:
             now: Clock reading, seconds.
@@ -148,15 +150,17 @@
             self._next_at = now + jitter
         if self._round is not None or self._next_at > now:
             return []
-        partner = self._partner()
-        self._next_at = now + self._pause()
+        partner = self._choose_partner()
+        self._next_at = now + self._next_interval()
         if partner is None:
             return []
         self._round = _Round(partner, [])
-        return [Call(partner, Digest(self._own_id, hash_text(self._table.state_hash)))]
+        return [
+            Call(partner, Digest(self._own_id, format_hash(self._table.state_hash)))
+        ]
 
     def next_due(self) -> float:
-        """Tells when `due` should be called next.
+        """Returns when `due` should be called next.
 
         Returns:
             Clock reading, seconds; infinity while a comparison runs.
@@ -166,10 +170,10 @@
         return self._next_at or 0.0
 
     def on_digest_reply(self, partner: Endpoint, reply: DigestReply) -> list[Call]:
-        """Goes on with the buckets that differ.
+        """Continues with the buckets that differ.
 
         Args:
-            partner: Who replied.
+            partner: Sender of the reply.
             reply: Hashes by bucket.
 
         Returns:
@@ -179,17 +183,17 @@
             return []
         pairs = zip(self._table.bucket_hashes, reply.bucket_hashes, strict=False)
         differing = [
-            bucket for bucket, (own, other) in enumerate(pairs) if own != other
+            bucket for bucket, (own, theirs) in enumerate(pairs) if own != theirs
         ]
         self._round.buckets = differing
         return self._compare_next()
 
     def on_compare_reply(self, partner: Endpoint, reply: CompareReply) -> list[Call]:
-        """Sends what the partner lacks and goes on with the next buckets.
+        """Sends the records that the partner lacks and continues with more buckets.
 
         Args:
-            partner: Who replied.
-            reply: What each side lacks; the caller has merged the records.
+            partner: Sender of the reply.
+            reply: What each side lacks; its records are merged already.
 
         Returns:
             The next calls, if any.
@@ -198,14 +202,14 @@
             return []
         calls = []
         if reply.wanted_members or reply.wanted_services:
-            calls.append(Call(partner, self._wanted_news(reply)))
+            calls.append(Call(partner, self._wanted_records(reply)))
         return [*calls, *self._compare_next()]
 
     def on_failure(self, partner: Endpoint, *, now: float) -> None:
-        """Gives a comparison up; another partner is asked soon.
+        """Aborts a comparison; another one is due soon.
 
         Args:
-            partner: Who did not answer.
+            partner: The partner that did not reply.
             now: Clock reading, seconds.
         """
         if self._round is None or self._round.partner != partner:
@@ -220,11 +224,17 @@
             self._round = None
             self._is_complete = True
             return []
-        buckets = self._round.buckets[:BUCKETS_PER_CALL]
-        del self._round.buckets[:BUCKETS_PER_CALL]
-        members = [one for bucket in buckets for one in self._table.members_in(bucket)]
+        buckets = self._round.buckets[:BUCKETS_PER_MESSAGE]
+        del self._round.buckets[:BUCKETS_PER_MESSAGE]
+        members = [
+            member
+            for bucket in buckets
+            for member in self._table.members_in_bucket(bucket)
+        ]
         services = [
-            one for bucket in buckets for one in self._table.services_in(bucket)
+            service
+            for bucket in buckets
+            for service in self._table.services_in_bucket(bucket)
         ]
         compare = Compare(
             sender_id=self._own_id,
@@ -234,7 +244,7 @@
         )
         return [Call(self._round.partner, compare)]
 
-    def _wanted_news(self, reply: CompareReply) -> News:
+    def _wanted_records(self, reply: CompareReply) -> News:
         members = self._table.members_by_id
         services = self._table.services.services_by_id
         return News(
@@ -247,44 +257,44 @@
             ),
         )
 
-    def _pause(self) -> float:
-        # A process without state yet asks again soon.
+    def _next_interval(self) -> float:
+        # Without a completed comparison the next one is due soon.
         interval = self._settings.digest_interval
         if not self._is_complete:
             interval = min(interval, RETRY_SECONDS)
         return interval * self._random.uniform(0.5, 1.5)
 
-    def _partner(self) -> Endpoint | None:
-        inside, outside = self._known_partners()
-        go_outside = self._random.randrange(OUTSIDE_EVERY) == 0
-        candidates = outside if outside and (go_outside or not inside) else inside
+    def _choose_partner(self) -> Endpoint | None:
+        live, fallback = self._cached_partners()
+        use_fallback = self._random.randrange(FALLBACK_PERIOD) == 0
+        candidates = fallback if fallback and (use_fallback or not live) else live
         return self._random.choice(candidates) if candidates else None
 
-    def _known_partners(self) -> tuple[list[Endpoint], list[Endpoint]]:
+    def _cached_partners(self) -> tuple[list[Endpoint], list[Endpoint]]:
         generation = self._table.balancer_generation
         if self._partners is None or self._partners[0] != generation:
             self._partners = (generation, *self._list_partners())
         return self._partners[1], self._partners[2]
 
     def _list_partners(self) -> tuple[list[Endpoint], list[Endpoint]]:
-        inside: list[Endpoint] = []
-        outside = list(self._seeds)
+        live: list[Endpoint] = []
+        fallback = list(self._seeds)
         for member in self._table.members_by_id.values():
             if member.role is not Role.BALANCER or member.member_id == self._own_id:
                 continue
             is_gone = member.state is MemberState.GONE
-            (outside if is_gone else inside).append(member.control)
-        return inside, outside
+            (fallback if is_gone else live).append(member.control)
+        return live, fallback
 
 
-def _is_news(member: Member, stamp: Stamp | None) -> bool:
+def _is_member_newer(member: Member, stamp: Stamp | None) -> bool:
     if stamp is None:
-        # What is gone need not be taught to one that has forgotten it.
+        # A gone member is not sent to a process that has removed it already.
         return member.state is not MemberState.GONE
     return (member.incarnation, member.version) > (stamp.incarnation, stamp.version)
 
 
-def _is_service_news(service: Service, stamp: Stamp | None) -> bool:
+def _is_service_newer(service: Service, stamp: Stamp | None) -> bool:
     return stamp is None or service.revision > stamp.version
 
 
--- a/src/siskinshift/membership/links.py
+++ b/src/siskinshift/membership/links.py
@@ -1,11 +1,11 @@
-"""Which balancers a balancer sends news to: a graph in failure-domain order.
-
-Within a failure domain every balancer stands on two rings, each in the order of a
-differently salted hash, and is linked to its neighbours on both. Two rings keep the
-graph whole when any one balancer is missing, and news crosses a domain of a hundred
-in a few hops. Between two domains of a region, and between two regions, a few
-balancers chosen by rendezvous hold links: news crosses each border a few times,
-however many balancers there are.
+"""Chooses the balancers that a balancer sends updates to.
+
+Within a failure domain every balancer is on two rings, each ordered by a differently
+salted hash, and is linked to its neighbours on both. Two rings keep the graph
+connected when any one balancer is missing, and an update crosses a domain of a
+hundred in a few hops. Between two domains of a region, and between two regions, a
+few gateways chosen by rendezvous hashing are linked: an update crosses each such
+border a few times, however many balancers exist.
 """
 
 from __future__ import annotations
@@ -30,13 +30,14 @@
 
 
 def neighbours_of(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
-    """Names the balancers that a balancer is linked to.
+    """Returns the balancers that a balancer is linked to.
 
-    Links are mutual: each end names the other when both know the same balancers.
+    Links are mutual: when both ends have the same balancers in their tables, each
+    is a neighbour of the other.
 
     Args:
         own: The balancer itself.
-        members: Known members; others than live balancers are passed over.
+        members: Known members; all but live balancers are ignored.
 
     Returns:
         The neighbours, ordered by id.
@@ -65,16 +66,16 @@
 
 
 def _ring_neighbours(own: Member, balancers: list[Member]) -> list[Member]:
-    near = [
+    local = [
         member
         for member in balancers
         if member.region == own.region and member.failure_domain == own.failure_domain
     ]
     neighbours = []
     for ring in range(RING_COUNT):
-        order = sorted(near, key=lambda member, ring=ring: _score(member, str(ring)))  # type: ignore[misc]
-        place = next(i for i, one in enumerate(order) if one is own)
-        neighbours += [order[place - 1], order[(place + 1) % len(order)]]
+        order = sorted(local, key=lambda member, ring=ring: _score(member, str(ring)))  # type: ignore[misc]
+        index = next(i for i, member in enumerate(order) if member is own)
+        neighbours += [order[index - 1], order[(index + 1) % len(order)]]
     return neighbours
 
 
@@ -83,11 +84,13 @@
     for member in balancers:
         if member.region == own.region:
             by_domain.setdefault(member.failure_domain, []).append(member)
-    here = by_domain.pop(own.failure_domain)
+    own_side = by_domain.pop(own.failure_domain)
     neighbours = []
-    for domain, there in by_domain.items():
-        border = "|".join(sorted((own.failure_domain, domain)))
-        neighbours += _across(own, here, there, f"{own.region}|{border}", DOMAIN_LINKS)
+    for domain, other_side in by_domain.items():
+        pair_key = "|".join(sorted((own.failure_domain, domain)))
+        neighbours += _gateway_neighbours(
+            own, own_side, other_side, f"{own.region}|{pair_key}", DOMAIN_LINKS
+        )
     return neighbours
 
 
@@ -95,30 +98,36 @@
     by_region: dict[str, list[Member]] = {}
     for member in balancers:
         by_region.setdefault(member.region, []).append(member)
-    here = by_region.pop(own.region)
+    own_side = by_region.pop(own.region)
     neighbours = []
-    for region, there in by_region.items():
-        border = "|".join(sorted((own.region, region)))
-        neighbours += _across(own, here, there, border, REGION_LINKS)
+    for region, other_side in by_region.items():
+        pair_key = "|".join(sorted((own.region, region)))
+        neighbours += _gateway_neighbours(
+            own, own_side, other_side, pair_key, REGION_LINKS
+        )
     return neighbours
 
 
-def _across(
-    own: Member, here: list[Member], there: list[Member], border: str, count: int
+def _gateway_neighbours(
+    own: Member,
+    own_side: list[Member],
+    other_side: list[Member],
+    pair_key: str,
+    count: int,
 ) -> list[Member]:
-    holders = _holders(here, border, count)
-    if own not in holders:
+    own_gateways = _gateways(own_side, pair_key, count)
+    if own not in own_gateways:
         return []
-    others = _holders(there, border, count)
-    # Sides of unequal size: the holders of the smaller one take several links.
-    place = holders.index(own)
-    links = max(len(holders), len(others))
+    other_gateways = _gateways(other_side, pair_key, count)
+    # With sides of unequal size, each gateway of the smaller side gets several links.
+    index = own_gateways.index(own)
+    links = max(len(own_gateways), len(other_gateways))
     return [
-        others[link % len(others)]
+        other_gateways[link % len(other_gateways)]
         for link in range(links)
-        if link % len(holders) == place
+        if link % len(own_gateways) == index
     ]
 
 
-def _holders(members: list[Member], border: str, count: int) -> list[Member]:
-    return sorted(members, key=lambda member: _score(member, border))[:count]
+def _gateways(members: list[Member], pair_key: str, count: int) -> list[Member]:
+    return sorted(members, key=lambda member: _score(member, pair_key))[:count]
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -1,4 +1,4 @@
-"""Runs membership decisions for one process: clock, threads, HTTP, views."""
+"""Runs the membership protocol of one process on real clocks, threads and HTTP."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     from siskinshift.runtime.application import Application
 
 
-WAIT_MAXIMUM_SECONDS = 0.2
-# A view is published at once after a quiet time; in a flood of changes this pause
-# bounds what building views costs.
-VIEW_PAUSE_SECONDS = 0.25
-# A process that leaves tells its watchers, but doesn't wait for dead ones.
+MAX_WAIT_SECONDS = 0.2
+# Least interval between two views. A change after a longer pause is published at once;
+# in a flood of changes the interval limits the cost of building views.
+VIEW_INTERVAL_SECONDS = 0.25
+# A process that leaves notifies its watchers, but doesn't wait for dead ones.
 LEAVE_TIMEOUT_SECONDS = 0.1
 
 
@@ -46,8 +46,8 @@
     """Runs membership for one process.
 
     Attributes:
-        views: Where the current view is.
-        services: Configuration held.
+        views: Holder of the current view.
+        services: Configuration of the process.
         counters: Messages sent, received and failed.
     """
 
@@ -60,11 +60,11 @@
         key_ring: KeyRing,
         clock: Clock,
     ) -> None:
-        """Prepares the node.
+        """Initializes the node and registers its message handlers.
 
         Args:
-            application: Owner of threads.
-            member: The process's own state to begin with.
+            application: Application that runs the node's threads.
+            member: Initial state of the process.
             routes: Where message handlers are registered.
             key_ring: Keys of the deployment.
             clock: Clock of the process.
@@ -76,10 +76,10 @@
         self._settings = application.settings.membership
         self._key_ring = key_ring
         self._clock = clock
-        self._wake = threading.Condition()
-        self._is_awake = False
+        self._condition = threading.Condition()
+        self._is_notified = False
         self._published_revision = -1
-        self._publish_at = 0.0
+        self._next_publish_at = 0.0
         participant_class = (
             BalancerMembership if member.role is Role.BALANCER else AgentMembership
         )
@@ -100,32 +100,32 @@
 
     @property
     def own(self) -> Member:
-        """What this process says of itself."""
+        """State that this process announces of itself."""
         return self._participant.own
 
     def start(self) -> None:
-        """Starts the task that acts when something is due."""
-        self._application.owns(self._leave)
+        """Starts the task that sends messages when they are due."""
+        self._application.owns(self._announce_shutdown)
         self._application.spawn(self._run)
 
     def change_own(self, *, state: MemberState, weight: int) -> None:
-        """Changes what this process says of itself.
+        """Changes the state that this process announces of itself.
 
         Args:
             state: New state.
             weight: New weight, 0 to 1000.
         """
-        with self._wake:
+        with self._condition:
             self._participant.change_own(state=state, weight=weight, now=self._clock())
             self._notify()
 
     def announce_entry_slot(self, revision: int) -> None:
-        """Tells peers of the entry slot that this balancer took or lost.
+        """Announces the entry slot that this balancer claimed or lost.
 
         Args:
-            revision: Revision at which it was taken; 0 once it is lost.
+            revision: Revision at which it was claimed; 0 once it is lost.
         """
-        with self._wake:
+        with self._condition:
             own = self._participant.own
             self._participant.change_own(
                 state=own.state,
@@ -137,7 +137,7 @@
 
     def services_changed(self) -> None:
         """Passes on and publishes configuration that was merged into `services`."""
-        with self._wake:
+        with self._condition:
             self._participant.services_changed(now=self._clock())
             self._notify()
 
@@ -146,7 +146,7 @@
 
         def handle(message: Message) -> Reply:
             self.counters.add(name)
-            with self._wake:
+            with self._condition:
                 revision = self._participant.table.revision
                 reply = self._participant.handle(message, now=self._clock())
                 if self._participant.table.revision != revision:
@@ -157,26 +157,26 @@
 
     def _run(self) -> None:
         while not self._application.stopping.is_set():
-            with self._wake:
+            with self._condition:
                 now = self._clock()
                 calls = self._participant.due(now)
                 due_at = self._participant.next_due()
             for call in calls:
                 self._tasks.send(call)
             publish_at = self._publish()
-            with self._wake:
+            with self._condition:
                 pause = min(due_at, publish_at) - self._clock()
-                if not self._is_awake and pause > 0:
-                    self._wake.wait(min(pause, WAIT_MAXIMUM_SECONDS))
-                self._is_awake = False
+                if not self._is_notified and pause > 0:
+                    self._condition.wait(min(pause, MAX_WAIT_SECONDS))
+                self._is_notified = False
 
     def _notify(self) -> None:
-        self._is_awake = True
-        self._wake.notify_all()
+        self._is_notified = True
+        self._condition.notify_all()
 
     def _on_result(self, call: Call, reply: Reply | None) -> None:
         self.counters.add("calls.failed" if reply is None else "calls.answered")
-        with self._wake:
+        with self._condition:
             now = self._clock()
             if reply is None:
                 self._participant.on_failure(call, now=now)
@@ -188,31 +188,34 @@
             self._tasks.send(next_call)
 
     def _publish(self) -> float:
-        """Publishes a view when there is news; only the running task calls it.
+        """Publishes a view after a change; called by the running task only.
 
         Returns:
-            When to call again, clock reading in seconds.
+            When to call this method again, clock reading in seconds.
         """
-        with self._wake:
+        with self._condition:
             now = self._clock()
             revision = self._participant.table.revision
             if revision == self._published_revision:
                 return float("inf")
-            if now < self._publish_at:
-                return self._publish_at
+            if now < self._next_publish_at:
+                return self._next_publish_at
             members = tuple(self._participant.table.members_by_id.values())
             services = tuple(self.services.services_by_id.values())
-        # Listeners run without the lock: they may call back.
+        # Listeners run without the lock, since they may call methods of the node.
         self.views.publish(services, members)
         self._published_revision = revision
-        self._publish_at = self._clock() + VIEW_PAUSE_SECONDS
+        self._next_publish_at = self._clock() + VIEW_INTERVAL_SECONDS
         return float("inf")
 
-    def _leave(self) -> None:
-        """Tells the watchers that this process ends, so that none has to wait."""
+    def _announce_shutdown(self) -> None:
+        """Notifies the watchers of the end of this process.
+
+        Otherwise they would detect it only by their failure timeout.
+        """
         if self._application.is_abandoned:
             return
-        with self._wake:
+        with self._condition:
             self._participant.change_own(
                 state=MemberState.GONE, weight=0, now=self._clock()
             )
--- a/src/siskinshift/membership/ordering.py
+++ b/src/siskinshift/membership/ordering.py
@@ -1,10 +1,10 @@
-"""Order of a member's states, and the verdicts that watchers derive from them.
+"""Orders a member's states and derives suspect and gone states from them.
 
-A member counts its own versions in steps of VERSION_STEP. What watchers say of
-it lies between two of these: one above its own for suspect, two above for gone.
-So two watchers that judge the same state write the same record, a verdict never
-collides with a change by the member itself, and the member's next own version
-refutes any verdict.
+A member increments its own version in steps of VERSION_STEP. The versions in between
+are for its watchers: one above its own for suspect, two above for gone. So two
+watchers that suspect or expel the same state write the same record, a watcher's
+record never collides with a change by the member itself, and the member's next own
+version refutes both.
 """
 
 from __future__ import annotations
@@ -26,41 +26,41 @@
 
 
 def is_newer(candidate: Member, known: Member | None) -> bool:
-    """Orders two states of one member by (incarnation, version).
+    """Returns whether a state of a member is newer by (incarnation, version).
 
     Args:
-        candidate: State that arrived.
-        known: State held, or None.
+        candidate: Received state.
+        known: Current state, or None.
 
     Returns:
-        Whether the candidate replaces the state held.
+        Whether the candidate replaces the current state.
     """
     if known is None:
         return True
-    left = (candidate.incarnation, candidate.version)
-    return left > (known.incarnation, known.version)
+    candidate_version = (candidate.incarnation, candidate.version)
+    return candidate_version > (known.incarnation, known.version)
 
 
 def own_version_above(version: int) -> int:
-    """Finds the next version a member may give itself.
+    """Returns the next version that a member may give itself.
 
     Args:
-        version: Any version of it.
+        version: Any version of the member.
 
     Returns:
-        The least multiple of VERSION_STEP above.
+        The least multiple of VERSION_STEP above the version.
     """
     return version // VERSION_STEP * VERSION_STEP + VERSION_STEP
 
 
 def suspected(member: Member) -> Member:
-    """Derives the state of a member that fell silent.
+    """Derives the suspect state of an unresponsive member.
 
     Args:
         member: Its last own state.
 
     Returns:
-        The suspect state; only one that was ready keeps taking new flows.
+        The suspect state; only a member that was ready still gets new flows.
     """
     weight = member.weight if member.state is MemberState.READY else 0
     return attrs.evolve(
@@ -72,7 +72,7 @@
 
 
 def expelled(member: Member) -> Member:
-    """Derives the state of a member that stayed silent.
+    """Derives the gone state of a member that stayed unresponsive.
 
     Args:
         member: Its last own or suspect state.
--- a/src/siskinshift/membership/participant.py
+++ b/src/siskinshift/membership/participant.py
@@ -1,4 +1,4 @@
-"""What the decisions of both roles have in common for their runner."""
+"""Defines the interface that both roles' membership protocols have in common."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 
 class Participant(Protocol):
-    """Membership decisions of one process; no I/O, no clock of their own.
+    """Membership protocol of one process, without I/O and without a clock.
 
     Attributes:
-        table: What the process knows.
+        table: All known members and services.
     """
 
     table: MemberTable
 
     @property
     def own(self) -> Member:
-        """What the process says of itself."""
+        """State that the process announces of itself."""
 
     @property
     def watchers(self) -> tuple[Endpoint, ...]:
-        """Control endpoints of the watchers it announces to."""
+        """Control endpoints of the watchers that heartbeats are sent to."""
 
     def due(self, now: float) -> list[Call]:
-        """Lists the messages to send now."""
+        """Returns the messages to send now."""
 
     def next_due(self) -> float:
-        """Tells when `due` should be called next, clock reading in seconds."""
+        """Returns when `due` should be called next, clock reading in seconds."""
 
     def handle(self, message: Message, *, now: float) -> Reply:
-        """Answers a message from another process."""
+        """Handles a message from another process and returns the reply."""
 
     def on_reply(self, call: Call, reply: Reply, *, now: float) -> list[Call]:
-        """Takes the reply to a call; returns calls that follow at once."""
+        """Handles the reply to a call; returns further calls to send at once."""
 
     def on_failure(self, call: Call, *, now: float) -> None:
-        """Takes note that a call was not answered."""
+        """Handles a call that got no reply."""
 
     def change_own(
         self,
@@ -56,7 +56,7 @@
         now: float,
         entry_slot: int | None = None,
     ) -> None:
-        """Changes what the process says of itself."""
+        """Changes the state that the process announces of itself."""
 
     def services_changed(self, *, now: float) -> None:
-        """Takes records that were merged into the services from elsewhere."""
+        """Handles records that other modules merged into the services."""
--- a/src/siskinshift/membership/peer_tasks.py
+++ b/src/siskinshift/membership/peer_tasks.py
@@ -1,4 +1,4 @@
-"""One task for each peer that messages are sent to."""
+"""Sends messages to peers, with one task for each peer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from siskinshift.runtime.application import Application
 
 
-# A task without work for so long ends and closes its connection.
+# A task that is idle for this long ends and closes its connection.
 IDLE_SECONDS = 12.0
 POLL_SECONDS = 0.5
 
@@ -31,7 +31,7 @@
 
 
 class PeerTasks:
-    """Sends calls in order to each peer, to different peers side by side."""
+    """Sends calls in order to each peer, and to different peers concurrently."""
 
     def __init__(
         self,
@@ -41,13 +41,13 @@
         timeout: float,
         on_result: ResultListener,
     ) -> None:
-        """Prepares without tasks.
+        """Initializes the sender without tasks.
 
         Args:
-            application: Owner of threads.
+            application: Application that runs the tasks' threads.
             key_ring: Keys of the deployment.
             timeout: Seconds allowed for one call.
-            on_result: Told the reply of each call, or None when none came.
+            on_result: Called with each call and its reply, or None for a failed call.
         """
         self._application = application
         self._key_ring = key_ring
@@ -57,7 +57,7 @@
         self._queues_by_endpoint: dict[Endpoint, queue.SimpleQueue[Call]] = {}
 
     def send(self, call: Call) -> None:
-        """Hands a call to its peer's task; starts the task when there is none.
+        """Queues a call for its peer's task and starts the task when there is none.
 
         Args:
             call: The call.
@@ -75,7 +75,7 @@
             try:
                 self._application.spawn(self._serve_peer, call.endpoint, calls)
             except RuntimeError:
-                return  # The application stopped meanwhile.
+                return  # The application was stopped in the meantime.
 
     def _serve_peer(self, endpoint: Endpoint, calls: queue.SimpleQueue[Call]) -> None:
         client = ControlClient(
@@ -88,7 +88,7 @@
                     call = calls.get(timeout=POLL_SECONDS)
                 except queue.Empty:
                     idle += POLL_SECONDS
-                    if idle >= IDLE_SECONDS and self._ends(endpoint, calls):
+                    if idle >= IDLE_SECONDS and self._remove_if_idle(endpoint, calls):
                         return
                     continue
                 idle = 0.0
@@ -96,7 +96,9 @@
         finally:
             client.close()
 
-    def _ends(self, endpoint: Endpoint, calls: queue.SimpleQueue[Call]) -> bool:
+    def _remove_if_idle(
+        self, endpoint: Endpoint, calls: queue.SimpleQueue[Call]
+    ) -> bool:
         with self._lock:
             if not calls.empty():
                 return False
@@ -112,7 +114,7 @@
         call: The call.
 
     Returns:
-        The reply, or None when no good one came in time.
+        The reply, or None when no valid one arrived in time.
     """
     message_type = type(call.message)
     try:
--- a/src/siskinshift/membership/table.py
+++ b/src/siskinshift/membership/table.py
@@ -1,4 +1,4 @@
-"""Members and services as this process knows them; a state never goes back."""
+"""Stores the members and services known to a process; older states are ignored."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     from siskinshift.messages.core import Service
 
 
-# A bucket of the largest deployment holds about 100 records: one reply.
+# In the largest deployment a bucket has about 100 records, which fit into one reply.
 BUCKET_COUNT = 64
-CHANGES_REMEMBERED = 64
-# Classes up to this size are told whole: that costs less than to keep book.
-WHOLE_CLASS_MAXIMUM = 16
+MAX_RECENT_CHANGES = 64
+# Classes up to this size are sent in full: that costs less than tracking changes.
+MAX_FULL_UPDATE_RECORDS = 16
 _HASH_FORMAT = "016x"
 
 
 @frozen
 class ClassChange:
-    """One change of a record that the agents of a class should know.
+    """A change of a record that is sent to the agents of a class.
 
     Attributes:
         revision: Revision of the table after the change.
@@ -47,28 +47,28 @@
 
 @define(eq=False)
 class ClassRecords:
-    """Records that the agents of one upstream class should know.
+    """Records that are sent to the agents of one upstream class.
 
     Attributes:
-        member_ids: Agents of the class, gone ones included.
+        member_ids: Agents of the class, including gone ones.
         service_ids: Services of the class.
-        state_hash: Exclusive or of the records' hashes, gone agents left out.
-        changes: The last changes, oldest first; kept for large classes only.
+        state_hash: XOR of the records' hashes, without gone agents.
+        changes: The last changes, oldest first; tracked for large classes only.
     """
 
-    # Lists: there are 1,200 classes of about five agents, and an empty set or
-    # deque takes as much memory as all the rest.
+    # These are lists because there are 1,200 classes of about five agents, and an
+    # empty set or deque takes as much memory as all the other fields.
     member_ids: list[str] = field(factory=list)
     service_ids: list[str] = field(factory=list)
     state_hash: int = 0
     changes: list[ClassChange] = field(factory=list)
 
     def is_large(self) -> bool:
-        """Tells whether the class is too large to be told whole each time."""
-        return len(self.member_ids) + len(self.service_ids) > WHOLE_CLASS_MAXIMUM
+        """Returns whether the class is too large to be sent in full each time."""
+        return len(self.member_ids) + len(self.service_ids) > MAX_FULL_UPDATE_RECORDS
 
-    def note(self, change: ClassChange) -> None:
-        """Remembers a change.
+    def record_change(self, change: ClassChange) -> None:
+        """Adds a change to the last changes.
 
         Args:
             change: The change.
@@ -76,12 +76,12 @@
         if not self.is_large():
             return
         self.changes.append(change)
-        if len(self.changes) > CHANGES_REMEMBERED:
+        if len(self.changes) > MAX_RECENT_CHANGES:
             del self.changes[0]
 
 
-def hash_text(value: int) -> str:
-    """Writes a hash for a message.
+def format_hash(value: int) -> str:
+    """Formats a hash for a message.
 
     Args:
         value: 64-bit hash.
@@ -93,7 +93,7 @@
 
 
 def bucket_of(key: str) -> int:
-    """Maps a record to its bucket of the digest.
+    """Returns the bucket of the digest that a record belongs to.
 
     Args:
         key: Member id or service id.
@@ -105,25 +105,25 @@
 
 
 class MemberTable:
-    """Merges states and keeps the hashes by which two processes compare them.
+    """Merges states and maintains the hashes by which two processes compare them.
 
-    Gone members are remembered but left out of the hashes: processes forget them
-    at different times, and one that still remembers would otherwise teach the
-    others again for ever.
+    Gone members stay in the table but are left out of the hashes. Processes remove
+    them at different times, and one that still has a gone member would otherwise
+    send it to the others again forever.
 
     Attributes:
         members_by_id: Known members.
         services: Known services.
-        revision: Counts all changes.
-        balancer_generation: Counts the changes that move assignments and links.
+        revision: Number of all changes so far.
+        balancer_generation: Number of changes that affect assignments and links.
         classes_by_name: Records by upstream class.
     """
 
     def __init__(self, services: ServiceTable) -> None:
-        """Prepares an empty table.
+        """Initializes an empty table.
 
         Args:
-            services: Configuration held by the process; others may merge into it.
+            services: Configuration of the process; other modules may merge into it.
         """
         self.members_by_id: dict[str, Member] = {}
         self.services = services
@@ -140,12 +140,12 @@
         self._service_ids_by_bucket: list[set[str]] = [
             set() for _ in range(BUCKET_COUNT)
         ]
-        self._taken_services_by_id: dict[str, Service] = {}
+        self._indexed_services_by_id: dict[str, Service] = {}
         self._services_generation = -1
 
     @property
     def state_hash(self) -> int:
-        """Hash of all records, gone members left out."""
+        """Hash of all records except gone members."""
         value = 0
         for bucket_hash in self._bucket_hashes:
             value ^= bucket_hash
@@ -154,17 +154,17 @@
     @property
     def bucket_hashes(self) -> tuple[str, ...]:
         """Hash of each bucket as text."""
-        return tuple(hash_text(value) for value in self._bucket_hashes)
+        return tuple(format_hash(value) for value in self._bucket_hashes)
 
     def merge(self, member: Member, *, now: float) -> bool:
-        """Takes a state of a member.
+        """Merges a state of a member.
 
         Args:
             member: The state.
             now: Clock reading, seconds.
 
         Returns:
-            Whether it was news.
+            Whether the state was newer than the one in the table.
         """
         known = self.members_by_id.get(member.member_id)
         if not is_newer(member, known):
@@ -174,27 +174,27 @@
         self.members_by_id[member.member_id] = member
         self.revision += 1
         if known is not None:
-            self._toggle(known, -1)
-        self._toggle(member, 1)
+            self._toggle_member_hash(known, -1)
+        self._toggle_member_hash(member, 1)
         self._index(member, known, now)
         return True
 
     def merge_service(self, service: Service) -> bool:
-        """Takes a record of a service.
+        """Merges a record of a service.
 
         Args:
             service: The record.
 
         Returns:
-            Whether it was news.
+            Whether the record was newer than the one in the table.
         """
         if not self.services.merge(service):
             return False
-        self.take_services()
+        self.index_merged_services()
         return True
 
-    def take_services(self) -> list[Service]:
-        """Indexes records that were merged into the services from elsewhere.
+    def index_merged_services(self) -> list[Service]:
+        """Indexes records that other modules merged into the services.
 
         Returns:
             The records that are new since the last call.
@@ -202,41 +202,41 @@
         if self.services.generation == self._services_generation:
             return []
         self._services_generation = self.services.generation
-        taken = self._taken_services_by_id
-        fresh = [
+        indexed = self._indexed_services_by_id
+        changed = [
             service
             for service_id, service in self.services.services_by_id.items()
-            if taken.get(service_id) is not service
+            if indexed.get(service_id) is not service
         ]
-        for service in fresh:
+        for service in changed:
             self._index_service(service)
-        return fresh
+        return changed
 
-    def forget(self, *, older_than: float) -> list[str]:
-        """Drops members that have been gone for long.
+    def expire_gone(self, *, older_than: float) -> list[str]:
+        """Removes members that have been gone since before a given time.
 
         Args:
-            older_than: Clock reading; those gone before it are dropped.
+            older_than: Clock reading; members gone before it are removed.
 
         Returns:
-            Ids of the dropped members.
+            Ids of the removed members.
         """
-        dropped = []
+        removed_ids = []
         for member_id, gone_at in tuple(self._gone_at_by_id.items()):
             if gone_at >= older_than:
                 break
-            self.drop(member_id)
-            dropped.append(member_id)
-        return dropped
+            self.remove(member_id)
+            removed_ids.append(member_id)
+        return removed_ids
 
-    def drop(self, member_id: str) -> None:
-        """Forgets one member whatever its state.
+    def remove(self, member_id: str) -> None:
+        """Removes a member whatever its state.
 
         Args:
             member_id: The member.
         """
         member = self.members_by_id.pop(member_id)
-        self._toggle(member, -1)
+        self._toggle_member_hash(member, -1)
         self._gone_at_by_id.pop(member_id, None)
         self._member_ids_by_bucket[bucket_of(member_id)].discard(member_id)
         records = self.classes_by_name.get(member.upstream_class)
@@ -245,13 +245,13 @@
         self.revision += 1
 
     def mostly_suspect_domains(self, *, minimum: int) -> frozenset[str]:
-        """Lists the failure domains most of whose members are suspect.
+        """Returns the failure domains at least half of whose members are suspect.
 
         Args:
-            minimum: Suspects that it takes at least.
+            minimum: Least number of suspect members in such a domain.
 
         Returns:
-            Names as `domain_of` gives them.
+            Names as returned by `domain_of`.
         """
         return frozenset(
             domain
@@ -259,20 +259,20 @@
             if count >= minimum and count * 2 >= self._live_by_domain[domain]
         )
 
-    def members_in(self, bucket: int) -> list[Member]:
-        """Lists a bucket's members.
+    def members_in_bucket(self, bucket: int) -> list[Member]:
+        """Returns the members of a bucket.
 
         Args:
             bucket: Bucket number.
 
         Returns:
-            Its members, gone ones included.
+            Its members, including gone ones.
         """
         ids = self._member_ids_by_bucket[bucket]
         return [self.members_by_id[member_id] for member_id in ids]
 
-    def services_in(self, bucket: int) -> list[Service]:
-        """Lists a bucket's services.
+    def services_in_bucket(self, bucket: int) -> list[Service]:
+        """Returns the services of a bucket.
 
         Args:
             bucket: Bucket number.
@@ -284,13 +284,13 @@
         return [self.services.services_by_id[service_id] for service_id in ids]
 
     def class_records(self, upstream_class: str) -> ClassRecords:
-        """Finds what the agents of a class should know.
+        """Returns the records that are sent to the agents of a class.
 
         Args:
             upstream_class: The class.
 
         Returns:
-            Its records; empty ones for a class nobody has named yet.
+            Its records; empty ones are added for an unknown class.
         """
         return self.classes_by_name.setdefault(upstream_class, ClassRecords())
 
@@ -305,39 +305,43 @@
             self._index_balancer(member, known)
             return
         records = self.class_records(member.upstream_class)
-        is_moved = known is None or known.upstream_class != member.upstream_class
-        if is_moved:
+        is_class_changed = (
+            known is None or known.upstream_class != member.upstream_class
+        )
+        if is_class_changed:
             records.member_ids.append(member_id)
-        if known is not None and is_moved:
-            former = self.class_records(known.upstream_class)
-            _discard(former.member_ids, member_id)
-        records.note(ClassChange(self.revision, member_id, False))
+        if known is not None and is_class_changed:
+            previous_records = self.class_records(known.upstream_class)
+            _discard(previous_records.member_ids, member_id)
+        records.record_change(ClassChange(self.revision, member_id, False))
 
     def _index_balancer(self, member: Member, known: Member | None) -> None:
-        if known is not None and _place_of(known) == _place_of(member):
+        if known is not None and _location_of(known) == _location_of(member):
             return
         self.balancer_generation += 1
 
     def _index_service(self, service: Service) -> None:
         service_id = service.service_id
         self.revision += 1
-        known = self._taken_services_by_id.get(service_id)
-        self._taken_services_by_id[service_id] = service
+        known = self._indexed_services_by_id.get(service_id)
+        self._indexed_services_by_id[service_id] = service
         self._service_ids_by_bucket[bucket_of(service_id)].add(service_id)
-        is_moved = known is None or known.upstream_class != service.upstream_class
+        is_class_changed = (
+            known is None or known.upstream_class != service.upstream_class
+        )
         if known is not None:
-            self._toggle_service(known)
-            if is_moved:
-                former = self.class_records(known.upstream_class)
-                _discard(former.service_ids, service_id)
-        self._toggle_service(service)
+            self._toggle_service_hash(known)
+            if is_class_changed:
+                previous_records = self.class_records(known.upstream_class)
+                _discard(previous_records.service_ids, service_id)
+        self._toggle_service_hash(service)
         records = self.class_records(service.upstream_class)
-        if is_moved:
+        if is_class_changed:
             records.service_ids.append(service_id)
-        records.note(ClassChange(self.revision, service_id, True))
+        records.record_change(ClassChange(self.revision, service_id, True))
 
-    def _toggle(self, member: Member, step: int) -> None:
-        """Puts a state into the hashes and counts, or takes it out again."""
+    def _toggle_member_hash(self, member: Member, step: int) -> None:
+        """Adds a state to the hashes and counts, or removes it from them."""
         if member.state is MemberState.GONE:
             return
         domain = domain_of(member)
@@ -349,15 +353,15 @@
         if member.role is Role.AGENT:
             self.class_records(member.upstream_class).state_hash ^= value
 
-    def _toggle_service(self, service: Service) -> None:
-        # The space keeps a service apart from a member of the same name.
+    def _toggle_service_hash(self, service: Service) -> None:
+        # The space makes the hash differ from that of a member of the same name.
         value = _record_hash(f" {service.service_id}", 0, service.revision)
         self._bucket_hashes[bucket_of(service.service_id)] ^= value
         self.class_records(service.upstream_class).state_hash ^= value
 
 
 def domain_of(member: Member) -> str:
-    """Names a member's failure domain among all regions.
+    """Returns the name of a member's failure domain, unique across regions.
 
     Args:
         member: The member.
@@ -369,25 +373,25 @@
 
 
 def stamp_of(member: Member) -> Stamp:
-    """Names a member's state.
+    """Returns the stamp of a member's state.
 
     Args:
         member: The state.
 
     Returns:
-        Its stamp.
+        Id, incarnation and version.
     """
     return Stamp(member.member_id, member.incarnation, member.version)
 
 
 def service_stamp_of(service: Service) -> Stamp:
-    """Names a service's record.
+    """Returns the stamp of a service's record.
 
     Args:
         service: The record.
 
     Returns:
-        Its stamp.
+        Id and revision.
     """
     return Stamp(service.service_id, 0, service.revision)
 
@@ -397,7 +401,7 @@
         keys.remove(key)
 
 
-def _place_of(member: Member) -> tuple[bool, str, str, object]:
+def _location_of(member: Member) -> tuple[bool, str, str, object]:
     is_gone = member.state is MemberState.GONE
     return (is_gone, member.region, member.failure_domain, member.control)
 
--- a/src/siskinshift/membership/view_holder.py
+++ b/src/siskinshift/membership/view_holder.py
@@ -1,4 +1,4 @@
-"""Holds the current view of a process and tells listeners of a new one."""
+"""Holds the current view of a process and notifies listeners of a new one."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ViewHolder:
-    """Numbers views and hands each to every listener, in order."""
+    """Numbers views and passes each to every listener, in order."""
 
     def __init__(self) -> None:
         self._lock = threading.RLock()
@@ -29,7 +29,7 @@
         self.current = make_view(version=0, services=(), members=())
 
     def subscribe(self, listener: ViewListener) -> None:
-        """Registers a listener and hands it the current view.
+        """Registers a listener and passes it the current view.
 
         Args:
             listener: Called with each new view, one at a time.
@@ -39,7 +39,7 @@
             listener(self.current)
 
     def publish(self, services: Iterable[Service], members: Iterable[Member]) -> None:
-        """Makes a new view.
+        """Makes a new view and passes it to the listeners.
 
         Args:
             services: Configured services.
