--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -30,7 +30,7 @@
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
 from siskinshift.platform.configuration import CONFIGURATION_KEY
-from siskinshift.platform.configuration import OPERATORS_PREFIX
+from siskinshift.platform.configuration import OPERATOR_KEY_PREFIX
 from siskinshift.platform.configuration import decode_configuration
 from siskinshift.platform.evacuations import EVACUATIONS_PREFIX
 from siskinshift.platform.evacuations import decode_evacuated_domain
@@ -107,7 +107,7 @@
         self.owns(configuration_store.close)
         self._follower = ConfigurationFollower(
             store=configuration_store,
-            prefix=OPERATORS_PREFIX,
+            prefix=OPERATOR_KEY_PREFIX,
             key=CONFIGURATION_KEY,
             evacuations=EvacuationReader(
                 prefix=EVACUATIONS_PREFIX,
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -26,8 +26,8 @@
 
 
 # Prefix of all that operators write.
-OPERATORS_PREFIX = "op/"
-CONFIGURATION_KEY = OPERATORS_PREFIX + "config"
+OPERATOR_KEY_PREFIX = "op/"
+CONFIGURATION_KEY = OPERATOR_KEY_PREFIX + "config"
 MILLISECONDS = 1000.0
 DOWNLOAD = "download"
 # A day; a request that may take longer is none.
