--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -37,7 +37,7 @@
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
 from siskinshift.platform.heartbeats import ACKNOWLEDGEMENT
-from siskinshift.platform.heartbeats import decode_upstream_call
+from siskinshift.platform.heartbeats import decode_upstream_request
 from siskinshift.platform.packets import decode_from_caller
 from siskinshift.platform.packets import decode_from_upstream
 from siskinshift.runtime.event_loop import open_datagram_socket
@@ -246,7 +246,7 @@
 
     def _handle_upstream_request(self, request: HttpRequest) -> HttpReply:
         try:
-            message = decode_upstream_call(request)
+            message = decode_upstream_request(request)
         except BadMessageError as error:
             # The sender is not this instance's upstream and may send at any rate.
             self.log.decision("heartbeat refused", error=str(error), path=request.path)
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -32,7 +32,7 @@
 ACKNOWLEDGEMENT = b"{}"
 
 
-def decode_upstream_call(request: HttpRequest) -> Heartbeat | Deregistration | None:
+def decode_upstream_request(request: HttpRequest) -> Heartbeat | Deregistration | None:
     """Decodes a call of an upstream.
 
     Args:
