--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -83,7 +83,7 @@
     def get(self, key: str) -> Entry | None:
         """Reads one entry."""
 
-    def get_cheaply(self, key: str) -> Entry | None:
+    def get_stale(self, key: str) -> Entry | None:
         """Reads one entry, seconds old."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
@@ -233,7 +233,7 @@
         own = self._own()
         key = member_key(own.member_id, own.role)
         # A cheap reading may be older than the entry.
-        if self._store.get_cheaply(key) is None and self._store.get(key) is None:
+        if self._store.get_stale(key) is None and self._store.get(key) is None:
             self._log.fact("entry missing", lease=self._lease_id)
             self._lease_id = 0
 
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -127,7 +127,7 @@
         """Reads one entry; see KeyValueStore."""
         return self._get(key, {})
 
-    def get_cheaply(self, key: str) -> Entry | None:
+    def get_stale(self, key: str) -> Entry | None:
         """Reads one entry as it was some seconds ago; see `list_prefix_cheaply`.
 
         Args:
