--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -89,7 +89,7 @@
     def list_prefix(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix."""
 
-    def list_prefix_cheaply(self, prefix: str) -> Snapshot:
+    def list_prefix_stale(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix, seconds old."""
 
     def transact(
@@ -222,7 +222,7 @@
             self._has_fresh_reading = True
         else:
             if self._has_silent():
-                self._take(self._store.list_prefix_cheaply(self._prefix))
+                self._take(self._store.list_prefix_stale(self._prefix))
             self._look_for_own()
         self._read_at = now + READ_SECONDS * self._random.uniform(0.8, 1.2)
 
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -128,7 +128,7 @@
         return self._get(key, {})
 
     def get_stale(self, key: str) -> Entry | None:
-        """Reads one entry as it was some seconds ago; see `list_prefix_cheaply`.
+        """Reads one entry as it was some seconds ago; see `list_prefix_stale`.
 
         Args:
             key: Its key.
@@ -150,7 +150,7 @@
         """
         return self._list(prefix, {})
 
-    def list_prefix_cheaply(self, prefix: str) -> Snapshot:
+    def list_prefix_stale(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix as they were some seconds ago.
 
         Costs a tenth of `list_prefix` and does not count towards the rate.
