--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -84,7 +84,7 @@
         from siskinshift.api.server import OperatorsServer
         from siskinshift.api.service import OperatorsService
 
-        store = self._store.shared_with(CallClass.OPERATOR)
+        store = self._store.with_call_class(CallClass.OPERATOR)
         service = OperatorsService(
             settings=self.settings,
             store=ConfigurationStore(store),
--- a/src/siskinshift/kv/etcd.py
+++ b/src/siskinshift/kv/etcd.py
@@ -88,7 +88,7 @@
         self._transport = transport or HttpTransport(settings)
         self._clock = clock
 
-    def shared_with(self, call_class: CallClass) -> EtcdStore:
+    def with_call_class(self, call_class: CallClass) -> EtcdStore:
         """Makes an adapter that shares this one's budget and circuit breaker.
 
         Args:
