--- a/src/siskinshift/configuration/reading.py
+++ b/src/siskinshift/configuration/reading.py
@@ -147,7 +147,7 @@
             now: Clock reading, seconds.
         """
         self._failures += 1
-        self._retry_at = now + RETRY.pause(self._failures, self._random)
+        self._retry_at = now + RETRY.delay(self._failures, self._random)
 
     def _forget(self) -> None:
         self._root_revision = NEVER_READ
--- a/src/siskinshift/configuration/store.py
+++ b/src/siskinshift/configuration/store.py
@@ -228,7 +228,7 @@
                     self._write_fence(root)
                     continue
             except (StoreUnavailableError, StoreOutcomeUnknownError):
-                self._pause(RESOLVE_PAUSE.pause(attempt, self._random))
+                self._pause(RESOLVE_PAUSE.delay(attempt, self._random))
                 continue
             return _settled(planned, before, root)
         raise StoreOutcomeUnknownError(_unknown_text(planned))
--- a/src/siskinshift/connections/store_contact.py
+++ b/src/siskinshift/connections/store_contact.py
@@ -49,7 +49,7 @@
         if not self._failures:
             self._log.fact(f"{self._subject} lost", error=str(error))
         self._failures += 1
-        return self._retry.pause(self._failures, self._random)
+        return self._retry.delay(self._failures, self._random)
 
     def succeeded(self) -> None:
         """Takes note of a call that was answered."""
--- a/src/siskinshift/kv/entry_slots.py
+++ b/src/siskinshift/kv/entry_slots.py
@@ -259,7 +259,7 @@
         self._free_index = None
         self._failures += 1
         # Candidates of a high rank don't come back sooner than they asked first.
-        pause = RETRY.pause(self._failures, self._random)
+        pause = RETRY.delay(self._failures, self._random)
         self._ask_at = now + max(pause, self._rank_pause())
 
     def on_kept(self, ttl: float, *, asked_at: float, now: float) -> None:
--- a/src/siskinshift/kv/guard.py
+++ b/src/siskinshift/kv/guard.py
@@ -67,7 +67,7 @@
     minimum: float
     maximum: float
 
-    def pause(self, failures: int, random: Random) -> float:
+    def delay(self, failures: int, random: Random) -> float:
         """Draws the pause after some failures in a row.
 
         Args:
@@ -189,4 +189,4 @@
         if self._failures < FAILURES_TO_OPEN:
             return
         openings = self._failures - FAILURES_TO_OPEN + 1
-        self._open_until = now + self._backoff.pause(openings, self._random)
+        self._open_until = now + self._backoff.delay(openings, self._random)
