--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -89,7 +89,7 @@
             settings=self.settings,
             store=ConfigurationStore(store),
             membership=self.membership,
-            store_available=lambda: store.available,
+            store_available=lambda: store.is_available,
         )
         self._operators = OperatorsServer(self.settings.api, service)
         self.owns(self._operators.stop)
--- a/src/siskinshift/kv/etcd.py
+++ b/src/siskinshift/kv/etcd.py
@@ -102,7 +102,7 @@
         return shared
 
     @property
-    def available(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the last call was answered well; True before the first one."""
         with self._guard_lock:
             return self._guard.healthy
