--- a/src/siskinshift/platform/__init__.py
+++ b/src/siskinshift/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Adapter to the users' platform: its names, formats and calls; decides nothing."""
+"""Adapter to the users' platform: its names, formats and requests, without policy."""
 
 from __future__ import annotations
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform's store holds it."""
+"""Decodes the operators' configuration from the platform's store."""
 
 from __future__ import annotations
 
@@ -25,46 +25,49 @@
     from collections.abc import Mapping
 
 
-# Prefix of all that operators write.
+# Prefix of all keys that operators write.
 OPERATOR_KEY_PREFIX = "op/"
 CONFIGURATION_KEY = OPERATOR_KEY_PREFIX + "config"
-MILLISECONDS = 1000.0
-DOWNLOAD = "download"
-# A day; a request that may take longer is none.
-DURATION_MS_MAXIMUM = 86_400_000
-WEIGHT_MAXIMUM = 1_000_000
-VERSION_MAXIMUM = (1 << 32) - 1
+MILLISECONDS_PER_SECOND = 1000.0
+DOWNLOAD_TYPE = "download"
+# One day; no request has a longer time limit.
+MAX_DURATION_MS = 86_400_000
+MAX_WEIGHT = 1_000_000
+MAX_VERSION = (1 << 32) - 1
 
 
 def decode_configuration(value: bytes) -> RouteTable:
     """Decodes a configuration.
 
     Args:
-        value: The entry's value.
+        value: Value of the store's entry.
 
     Returns:
         The route table.
 
     Raises:
-        BadMessageError: It can't be read; a part of one is never in force.
+        BadMessageError: It is malformed. A configuration is never applied in part.
     """
     document = parse_table(value)
     routes = [_decode_route(route) for route in rows_of(document, "routes")]
     services = rows_of(document, "services")
     limits = table_of(document, "limits")
     return RouteTable(
-        version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
-        routes_by_address=MappingProxyType({r.address: r for r in routes}),
-        idle_timeout=_seconds_of(limits, "idle-timeout-ms"),
+        version=whole_of(document, "version", maximum=MAX_VERSION),
+        routes_by_address=MappingProxyType({route.address: route for route in routes}),
+        idle_timeout=_decode_seconds(limits, "idle-timeout-ms"),
         health_paths_by_service=MappingProxyType(
-            {text_of(s, "name"): text_of(s, "health-path") for s in services}
+            {
+                text_of(service, "name"): text_of(service, "health-path")
+                for service in services
+            }
         ),
         warm_up_rates_by_service=_decode_warm_up_rates(services),
     )
 
 
 def _decode_warm_up_rates(services: list[dict[str, Any]]) -> Mapping[str, float]:
-    """Reads the rates; a rate of 0, or none, declares no bound."""
+    """Decodes the rates; a missing rate or 0 means no limit."""
     rates_by_service = {
         text_of(service, "name"): number_of(
             service, "warmup-per-s", maximum=MAX_WARM_UP_RATE
@@ -72,7 +75,9 @@
         for service in services
         if "warmup-per-s" in service
     }
-    return MappingProxyType({s: r for s, r in rates_by_service.items() if r})
+    return MappingProxyType(
+        {service: rate for service, rate in rates_by_service.items() if rate}
+    )
 
 
 def _decode_route(route: dict[str, Any]) -> ConnectionRoute:
@@ -81,16 +86,16 @@
         address=_decode_address(route),
         targets=_decode_targets(route),
         terms=RequestParameters(
-            objective=_seconds_of(route, "target-latency-ms"),
-            deadline=_seconds_of(route, "timeout-ms"),
+            objective=_decode_seconds(route, "target-latency-ms"),
+            deadline=_decode_seconds(route, "timeout-ms"),
             urgency=whole_of(route, "priority"),
         ),
-        is_single_request=text_of(route, "type") == DOWNLOAD,
+        is_single_request=text_of(route, "type") == DOWNLOAD_TYPE,
     )
 
 
 def _decode_address(route: dict[str, Any]) -> bytes:
-    # A route's prefix is a port between slashes.
+    # The field "prefix" of a route has the port between slashes.
     host, port = text_of(route, "host"), text_of(route, "prefix").strip("/")
     try:
         return pack_service_address(host, int(port))
@@ -98,20 +103,18 @@
         raise BadMessageError(f"address: {host!r}, {port!r}") from error
 
 
-def _seconds_of(table: dict[str, Any], name: str) -> float:
-    return number_of(table, name, maximum=DURATION_MS_MAXIMUM) / MILLISECONDS
+def _decode_seconds(table: dict[str, Any], name: str) -> float:
+    return number_of(table, name, maximum=MAX_DURATION_MS) / MILLISECONDS_PER_SECOND
 
 
 def _decode_targets(route: dict[str, Any]) -> tuple[Target, ...]:
     if not route.get("traffic-split"):
         return (Target(text_of(route, "service"), 1),)
     targets = [
-        Target(
-            text_of(part, "service"), whole_of(part, "weight", maximum=WEIGHT_MAXIMUM)
-        )
-        for part in rows_of(route, "traffic-split")
+        Target(text_of(split, "service"), whole_of(split, "weight", maximum=MAX_WEIGHT))
+        for split in rows_of(route, "traffic-split")
     ]
     targets = [target for target in targets if target.weight]
     if not targets:
-        raise BadMessageError("traffic-split: no part has a weight")
+        raise BadMessageError("traffic-split: no target has a positive weight")
     return tuple(targets)
--- a/src/siskinshift/platform/evacuations.py
+++ b/src/siskinshift/platform/evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations of failure domains as the platform's store holds them."""
+"""Decodes evacuations of failure domains from the platform's store."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from siskinshift.kv.port import Entry
 
 
-# One entry for each evacuated domain; the domain is taken back by removing it.
+# One entry for each evacuated domain; removing the entry ends the evacuation.
 EVACUATIONS_PREFIX = "op/evacuate/"
 
 
 def decode_evacuated_domain(entry: Entry) -> str:
-    """Reads which failure domain an entry evacuates.
+    """Returns the failure domain that an entry evacuates.
 
     Args:
         entry: An entry whose key has the prefix.
@@ -27,7 +27,7 @@
         The failure domain.
 
     Raises:
-        BadMessageError: Its key names no domain, or its value can't be read.
+        BadMessageError: Its key has no valid domain name, or its value is malformed.
     """
     parse_table(entry.value)
     name = entry.key.removeprefix(EVACUATIONS_PREFIX)
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Calls of upstreams and of the platform's prober to a node."""
+"""Paths and messages of upstreams' heartbeats and of the platform's readiness probe."""
 
 from __future__ import annotations
 
@@ -22,34 +22,36 @@
 
 READINESS_PATH = "/ready"
 _HEARTBEAT_PATH = "/Instances.Heartbeat/"
-_END_PATH = "/Instances.Deregister/"
-# Whether an upstream leaves, by what it says of its state; it may say nothing else.
+_DEREGISTRATION_PATH = "/Instances.Deregister/"
+# Whether an upstream is leaving, by its reported state. Other states are invalid.
 _IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
-MILLISECONDS = 1000.0
-# An upstream is cold for seconds; what is beyond this was not written by one.
-COLD_MS_MAXIMUM = 3_600_000
-# Answer to a call that was taken in.
+MILLISECONDS_PER_SECOND = 1000.0
+# An upstream is cold for seconds, so a larger value is invalid.
+MAX_COLD_MS = 3_600_000
+# Response body to an accepted request.
 ACKNOWLEDGEMENT = b"{}"
 
 
 def decode_upstream_request(request: HttpRequest) -> Heartbeat | Deregistration | None:
-    """Decodes a call of an upstream.
+    """Decodes an HTTP request of an upstream.
 
     Args:
         request: The request.
 
     Returns:
-        What it says, or None for a path that is not known.
+        The message, or None for an unknown method or path.
 
     Raises:
-        BadMessageError: It can't be read, so that it names no upstream.
+        BadMessageError: It is malformed, so its upstream is unknown.
     """
     if request.method != "POST":
         return None
-    if request.path.startswith(_END_PATH):
-        # An end may come without a body.
+    if request.path.startswith(_DEREGISTRATION_PATH):
+        # The body of a deregistration is optional.
         body = parse_table(request.body) if request.body else {}
-        return Deregistration(_incarnation(request.path[len(_END_PATH) :], body))
+        return Deregistration(
+            _decode_incarnation(request.path[len(_DEREGISTRATION_PATH) :], body)
+        )
     if request.path.startswith(_HEARTBEAT_PATH):
         body = parse_table(request.body)
         return _decode_heartbeat(request.path[len(_HEARTBEAT_PATH) :], body)
@@ -60,19 +62,19 @@
     state = text_of(body, "state")
     if state not in _IS_LEAVING_BY_STATE:
         raise BadMessageError(f"state: {state!r}; allowed: ready, draining")
-    cold_ms = number_of(body, "warmup-left-ms", maximum=COLD_MS_MAXIMUM)
+    cold_ms = number_of(body, "warmup-left-ms", maximum=MAX_COLD_MS)
     return Heartbeat(
-        incarnation=_incarnation(upstream_id, body),
+        incarnation=_decode_incarnation(upstream_id, body),
         service_id=text_of(body, "service"),
         sequence=whole_of(body, "seq"),
         slots=whole_of(body, "capacity", minimum=1, maximum=SLOTS_MAXIMUM),
         is_leaving=_IS_LEAVING_BY_STATE[state],
-        cold_seconds=cold_ms / MILLISECONDS,
+        cold_seconds=cold_ms / MILLISECONDS_PER_SECOND,
     )
 
 
-def _incarnation(upstream_id: str, body: dict[str, Any]) -> Incarnation:
+def _decode_incarnation(upstream_id: str, body: dict[str, Any]) -> Incarnation:
     text_of({"id": upstream_id}, "id")
-    # `born` is when the upstream's process started. Some upstreams do not tell it.
+    # `born` is the start time of the upstream's process. Some upstreams omit it.
     started_ms = whole_of(body, "born") if "born" in body else None
     return Incarnation(upstream_id, started_ms)
--- a/src/siskinshift/platform/packets.py
+++ b/src/siskinshift/platform/packets.py
@@ -1,8 +1,8 @@
 """The platform's packet format.
 
-A packet is one UDP datagram: 32 bytes of header, big-endian, then the data. The sum
-is keyed with a key that only the two ends know, so the system passes packets on
-unchanged and can write just one of its own: a reset, whose sum is zero.
+A packet is one UDP datagram: a header of 32 bytes in big-endian order, then the data.
+The checksum uses a key that only the two endpoints have. The system therefore forwards
+packets unchanged and can generate only a reset, whose checksum is zero.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 # flags, pad, len, sport, dst, src, dport, sum, seq, ack, echo
 _HEADER = struct.Struct("!BBHH4s4sHIIII")
-_NUMBERS = struct.Struct("!IIII")  # sum, seq, ack, echo
-_NUMBERS_OFFSET = 16
+_SUM_SEQ_ACK_ECHO = struct.Struct("!IIII")  # sum, seq, ack, echo
+_SUM_OFFSET = 16
 _LENGTH = struct.Struct("!H")
 _LENGTH_OFFSET = 2
 HEADER_SIZE = _HEADER.size
-DATA_SIZE_MAXIMUM = 1200
+MAX_DATA_SIZE = 1200
 
 _WIRE_SYN = 4
 _WIRE_ACK = 64
@@ -41,25 +41,25 @@
     _WIRE_BOUNCED: BOUNCED,
 }
 _FLAGS_BY_WIRE_FLAGS = tuple(
-    sum(flag for bit, flag in _FLAG_BY_WIRE_BIT.items() if wire & bit)
-    for wire in range(256)
+    sum(flag for bit, flag in _FLAG_BY_WIRE_BIT.items() if wire_flags & bit)
+    for wire_flags in range(256)
 )
 
 
 def decode_from_caller(datagram: bytes) -> Segment | None:
-    """Takes a packet on its way to an upstream apart; also one that bounced.
+    """Decodes a packet on its way to an upstream, including a bounced packet.
 
     Args:
         datagram: The packet.
 
     Returns:
-        The segment, or None for a datagram that is no packet.
+        The segment, or None for a datagram that is not a valid packet.
     """
-    if not _is_whole(datagram):
+    if not _has_valid_length(datagram):
         return None
-    _, seq, ack, _ = _NUMBERS.unpack_from(datagram, _NUMBERS_OFFSET)
+    _, seq, ack, _ = _SUM_SEQ_ACK_ECHO.unpack_from(datagram, _SUM_OFFSET)
     return Segment(
-        # Both ports and both addresses lie side by side in the header.
+        # The ports and addresses are contiguous in the header.
         flow=datagram[4:16],
         flags=_FLAGS_BY_WIRE_FLAGS[datagram[0]],
         seq=seq,
@@ -70,22 +70,22 @@
 
 
 def decode_from_upstream(datagram: bytes) -> Segment | None:
-    """Takes a packet of an upstream apart; a bounced one has the caller's direction.
+    """Decodes a packet of an upstream; a bounced one has the caller's direction.
 
     Args:
         datagram: The packet.
 
     Returns:
-        The segment with the flow as the caller's packets name it, or None. That of a
-        bounced packet holds it as the caller wrote it, for another upstream.
+        The segment, whose flow is in the caller's direction, or None. The datagram of a
+        bounced packet is restored to the caller's, to be sent to another upstream.
     """
-    if not _is_whole(datagram):
+    if not _has_valid_length(datagram):
         return None
     if datagram[0] & _WIRE_BOUNCED:
         bounced = decode_from_caller(datagram)
         restored = bytes((datagram[0] & ~_WIRE_BOUNCED,)) + datagram[1:]
         return attrs.evolve(bounced, datagram=restored) if bounced else None
-    _, seq, ack, _ = _NUMBERS.unpack_from(datagram, _NUMBERS_OFFSET)
+    _, seq, ack, _ = _SUM_SEQ_ACK_ECHO.unpack_from(datagram, _SUM_OFFSET)
     return Segment(
         flow=datagram[14:16] + datagram[10:14] + datagram[6:10] + datagram[4:6],
         flags=_FLAGS_BY_WIRE_FLAGS[datagram[0]],
@@ -97,11 +97,11 @@
 
 
 def encode_reset(flow: bytes, *, seq: int) -> bytes:
-    """Writes a reset of the system's own towards the caller.
+    """Encodes a reset that the system sends to the caller.
 
     Args:
         flow: The flow.
-        seq: What the caller acknowledged last; any value while the flow is not open.
+        seq: The caller's last acknowledgment number; any value before the flow is open.
 
     Returns:
         The packet.
@@ -123,9 +123,9 @@
     )
 
 
-def _is_whole(datagram: bytes) -> bool:
+def _has_valid_length(datagram: bytes) -> bool:
     size = len(datagram)
-    if not HEADER_SIZE <= size <= HEADER_SIZE + DATA_SIZE_MAXIMUM:
+    if not HEADER_SIZE <= size <= HEADER_SIZE + MAX_DATA_SIZE:
         return False
     length: int = _LENGTH.unpack_from(datagram, _LENGTH_OFFSET)[0]
     return length == size - HEADER_SIZE
--- a/src/siskinshift/platform/settings.py
+++ b/src/siskinshift/platform/settings.py
@@ -1,8 +1,8 @@
-"""The platform's settings file, decoded into the product's settings.
+"""Decodes the platform's settings file into the project's settings.
 
-The file is TOML under the platform's names, or the same fields as JSON, which the
-deploy file asks for: the parser of TOML alone takes a seventh of a node's start. Fields
-that are not listed here are ignored: new ones may come.
+The file is TOML with the platform's names, or JSON with the same fields. Deployments
+use JSON because the TOML parser alone takes a seventh of a node's start time. Unknown
+fields are ignored, because the platform may add new ones.
 """
 
 from __future__ import annotations
@@ -26,91 +26,94 @@
 
 
 PATH_VARIABLE = "SISKINSHIFT_NODE_FILE"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 BYTES_PER_MEGABIT = 125_000.0
-# A node needs a few calls at its start and one each ten seconds after; a whole fleet
-# that starts at once must stay below the store's rates with room for the operators.
+# A node sends a few requests at its start and one every 10 s afterwards. A fleet that
+# starts at once must stay below the store's rate limits and leave room for operators.
 CALL_RATE = 10.0
 CALL_BURST = 20
 
 
-class _Fields:
-    """Reads fields of one table and names the place of each fault."""
+class _TableReader:
+    """Reads and validates the fields of one table; errors include the field's path."""
 
-    def __init__(self, source: str, table: dict[str, Any], place: str = "") -> None:
+    def __init__(
+        self, source: str, table: dict[str, Any], path_prefix: str = ""
+    ) -> None:
         self._source = source
         self._table = table
-        self._place = place
+        self._path_prefix = path_prefix
 
-    def table(self, name: str) -> _Fields:
+    def table(self, name: str) -> _TableReader:
         value = self._table.get(name)
         if not isinstance(value, dict):
-            raise self._fault(name, value, "a table")
-        return _Fields(self._source, value, f"{self._place}{name}.")
+            raise self._invalid_field(name, value, "a table")
+        return _TableReader(self._source, value, f"{self._path_prefix}{name}.")
 
     def text(self, name: str, default: str | None = None) -> str:
         value = self._table.get(name, default)
         if not isinstance(value, str) or (value == "" and default is None):
-            raise self._fault(name, value, "a text")
+            raise self._invalid_field(name, value, "a text")
         return value
 
     def number(self, name: str, *, minimum: float, maximum: float) -> float:
         value: Any = self._table.get(name)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not is_number or not minimum <= value <= maximum:
-            raise self._fault(name, value, f"a number, {minimum} to {maximum}")
+            raise self._invalid_field(name, value, f"a number, {minimum} to {maximum}")
         return float(value)
 
     def endpoint(self, name: str) -> Endpoint:
         endpoint = self.optional_endpoint(name)
         if endpoint is None:
-            raise self._fault(name, None, "host:port")
+            raise self._invalid_field(name, None, "host:port")
         return endpoint
 
     def optional_endpoint(self, name: str) -> Endpoint | None:
         value = self._table.get(name, "")
         if value == "":
             return None
-        return self._checked(name, value, parse_endpoint, "host:port")
+        return self._parse_endpoint(name, value, parse_endpoint, "host:port")
 
     def first_port(self, name: str) -> int:
         ports: Any = self._table.get(name)
         is_range = isinstance(ports, list) and len(ports) > 1
         if not is_range or not all(isinstance(port, int) for port in ports):
-            raise self._fault(name, ports, "two ports")
+            raise self._invalid_field(name, ports, "two ports")
         return int(ports[0])
 
     def hosts(self, name: str) -> tuple[str, ...]:
         values = self._table.get(name, [])
         if not isinstance(values, list):
-            raise self._fault(name, values, "a list of host:port")
+            raise self._invalid_field(name, values, "a list of host:port")
         endpoints = [
-            self._checked(name, value, parse_endpoint, "host:port") for value in values
+            self._parse_endpoint(name, value, parse_endpoint, "host:port")
+            for value in values
         ]
         return tuple(endpoint.host for endpoint in endpoints)
 
-    def _checked(
+    def _parse_endpoint(
         self, name: str, value: object, parse: Callable[[str], Endpoint], allowed: str
     ) -> Endpoint:
         try:
             return parse(str(value))
         except ValueError as error:
-            raise self._fault(name, value, allowed) from error
+            raise self._invalid_field(name, value, allowed) from error
 
-    def _fault(self, name: str, value: object, allowed: str) -> SettingsError:
-        shown = "missing" if value is None else repr(value)
-        place = f"{self._source}: {self._place}{name}"
-        return SettingsError((f"{place}: {shown}; allowed: {allowed}",))
+    def _invalid_field(self, name: str, value: object, allowed: str) -> SettingsError:
+        shown_value = "missing" if value is None else repr(value)
+        location = f"{self._source}: {self._path_prefix}{name}"
+        return SettingsError((f"{location}: {shown_value}; allowed: {allowed}",))
 
 
 def settings_path() -> str:
-    """Names the settings file.
+    """Returns the path of the settings file.
 
     Returns:
-        Its path by the environment.
+        The path from the environment.
 
     Raises:
-        SettingsError: The variable is not set.
+        SettingsError: The environment variable is not set.
     """
     path = os.environ.get(PATH_VARIABLE, "")
     if not path:
@@ -122,27 +125,27 @@
     """Reads the settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
-        The settings, checked.
+        The validated settings.
 
     Raises:
-        SettingsError: The file can't be read, or a field is missing or not allowed.
+        SettingsError: The file can't be read, or a field is missing or invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
-            document = _parse(file.read())
+            document = _parse_document(file.read())
     except (BadMessageError, OSError, ValueError) as error:
-        problem = str(error).replace("\n", " ")
-        raise SettingsError((f"{path}: can't be read: {problem}",)) from error
+        message = str(error).replace("\n", " ")
+        raise SettingsError((f"{path}: can't be read: {message}",)) from error
     return decode_node_settings(document, source=str(path))
 
 
-def _parse(text: str) -> dict[str, Any]:
+def _parse_document(text: str) -> dict[str, Any]:
     if text.lstrip().startswith("{"):
         return parse_table(text.encode())
-    # Loaded only where it is needed: by people who check a file of their own.
+    # Imported only for TOML files, which users check by hand; deployments use JSON.
     import tomllib
 
     return tomllib.loads(text)
@@ -152,16 +155,16 @@
     """Decodes the settings.
 
     Args:
-        document: The file's content.
-        source: Name of the file, for messages.
+        document: Decoded content of the file.
+        source: Name of the file for error messages.
 
     Returns:
-        The settings, checked.
+        The validated settings.
 
     Raises:
-        SettingsError: A field is missing or not allowed.
+        SettingsError: A field is missing or invalid.
     """
-    fields = _Fields(source, document)
+    fields = _TableReader(source, document)
     listen = fields.table("listen")
     bounds = fields.table("bounds")
     limits = fields.table("limits")
@@ -174,13 +177,13 @@
         peer_port=fields.first_port("port-range"),
         seed_hosts=fields.hosts("seeds"),
         readiness=listen.optional_endpoint("readiness-addr"),
-        # The same name holds the address for seeds on a balancer's instance.
+        # On a balancer's instance, this field is the address for seeds instead.
         heartbeats=listen.optional_endpoint("control-plane"),
         caller_packets=listen.endpoint("datagram-addr"),
         upstream_outlet=listen.optional_endpoint("outbound"),
         upstream=fields.optional_endpoint("app"),
         service_id=fields.text("service", ""),
-        heartbeat_interval=heartbeat_ms / MILLISECONDS,
+        heartbeat_interval=heartbeat_ms / MILLISECONDS_PER_SECOND,
         leave_seconds=bounds.number("grace-s", minimum=0.1, maximum=3600),
         link_bytes_per_second=limits.number("link-mbps", minimum=0.01, maximum=1e6)
         * BYTES_PER_MEGABIT,
@@ -188,11 +191,11 @@
     )
 
 
-def _decode_store(fields: _Fields) -> StoreSettings:
+def _decode_store(fields: _TableReader) -> StoreSettings:
     lease_ms = fields.number("min-ttl-ms", minimum=1, maximum=600_000)
     return StoreSettings(
         endpoint=fields.endpoint("address"),
         call_rate=CALL_RATE,
         call_burst=CALL_BURST,
-        lease_minimum=lease_ms / MILLISECONDS,
+        lease_minimum=lease_ms / MILLISECONDS_PER_SECOND,
     )
