--- a/src/siskinshift/configuration/reader.py
+++ b/src/siskinshift/configuration/reader.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 from urllib.parse import quote
 
-from siskinshift.configuration.reading import CheckRoot
-from siskinshift.configuration.reading import ConfigurationReading
-from siskinshift.configuration.reading import OpenWatch
-from siskinshift.configuration.reading import ReadAll
+from siskinshift.configuration.read_schedule import CheckRoot
+from siskinshift.configuration.read_schedule import ConfigurationReading
+from siskinshift.configuration.read_schedule import OpenWatch
+from siskinshift.configuration.read_schedule import ReadAll
 from siskinshift.configuration.records import PREFIX
 from siskinshift.configuration.records import ROOT_KEY
 from siskinshift.configuration.records import decode_services
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinshift.configuration.reading import ReadingAction
+    from siskinshift.configuration.read_schedule import ReadingAction
     from siskinshift.core.clocks import Clock
     from siskinshift.core.views import View
     from siskinshift.kv.entry_slots import SlotAction
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -10,10 +10,10 @@
 from siskinshift.configuration.changes import CreateService
 from siskinshift.configuration.changes import DeleteService
 from siskinshift.configuration.changes import SetShare
-from siskinshift.configuration.reading import CheckRoot
-from siskinshift.configuration.reading import ConfigurationReading
-from siskinshift.configuration.reading import OpenWatch
-from siskinshift.configuration.reading import ReadAll
+from siskinshift.configuration.read_schedule import CheckRoot
+from siskinshift.configuration.read_schedule import ConfigurationReading
+from siskinshift.configuration.read_schedule import OpenWatch
+from siskinshift.configuration.read_schedule import ReadAll
 from siskinshift.configuration.table import ServiceTable
 from siskinshift.core.views import make_view
 from tests.configuration.simulation import Node
