--- a/src/siskinshift/configuration/__init__.py
+++ b/src/siskinshift/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""What the operators want."""
+"""Operators' configuration of services: records, changes and reading."""
 
 from __future__ import annotations
--- a/src/siskinshift/configuration/changes.py
+++ b/src/siskinshift/configuration/changes.py
@@ -1,4 +1,4 @@
-"""The changes operators can make, and what each makes of a service's record."""
+"""Operators' changes to services and the records that they result in."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     """Creates a service.
 
     Attributes:
-        service: The service; revision and change id are passed over.
+        service: The service; its revision and change id are ignored.
     """
 
     service: Service
 
     @property
     def service_id(self) -> str:
-        """Service that is changed."""
+        """Id of the service."""
         return self.service.service_id
 
 
 @frozen
 class ReplaceService:
-    """Replaces the whole of a service but what is drained or evacuated.
+    """Replaces a service except for its drains and evacuations.
 
     Attributes:
         service: The new content.
-        revision: Revision it was made from.
+        revision: Revision of the service that the change is based on.
     """
 
     service: Service
@@ -50,7 +50,7 @@
 
     @property
     def service_id(self) -> str:
-        """Service that is changed."""
+        """Id of the service."""
         return self.service.service_id
 
 
@@ -60,7 +60,7 @@
 
     Attributes:
         service_id: The service.
-        revision: Revision the operator has seen.
+        revision: Expected current revision of the service.
     """
 
     service_id: str
@@ -74,7 +74,7 @@
     Attributes:
         service_id: The service.
         group: The group.
-        revision: Revision the operator has seen; 0 for whatever is current.
+        revision: Expected current revision of the service; 0 accepts any.
     """
 
     service_id: str
@@ -89,7 +89,7 @@
     Attributes:
         service_id: The service.
         group_id: The group.
-        revision: Revision the operator has seen; 0 for whatever is current.
+        revision: Expected current revision of the service; 0 accepts any.
     """
 
     service_id: str
@@ -99,13 +99,13 @@
 
 @frozen
 class SetShare:
-    """Sets the share a group is owed.
+    """Sets the share of a group.
 
     Attributes:
         service_id: The service.
         group_id: The group.
         share: The share, above 0.
-        revision: Revision the operator has seen; 0 for whatever is current.
+        revision: Expected current revision of the service; 0 accepts any.
     """
 
     service_id: str
@@ -116,13 +116,13 @@
 
 @frozen
 class SetDrain:
-    """Drains an agent of a service, or takes that back.
+    """Starts or ends the drain of an agent for a service.
 
     Attributes:
         service_id: The service.
-        member_id: Member id of the agent; it need not be known yet.
-        drained: Whether it is to be drained.
-        revision: Revision the operator has seen; 0 for whatever is current.
+        member_id: Member id of the agent, which need not exist yet.
+        drained: Whether the agent is drained.
+        revision: Expected current revision of the service; 0 accepts any.
     """
 
     service_id: str
@@ -133,13 +133,13 @@
 
 @frozen
 class SetEvacuation:
-    """Evacuates a failure domain for a service, or takes it back.
+    """Starts or ends the evacuation of a failure domain for a service.
 
     Attributes:
         service_id: The service.
-        failure_domain: The failure domain; it need not be known yet.
-        evacuated: Whether its agents are to get no new flows.
-        revision: Revision the operator has seen; 0 for whatever is current.
+        failure_domain: The failure domain, which need not exist yet.
+        evacuated: Whether the domain's agents receive no new flows.
+        revision: Expected current revision of the service; 0 accepts any.
     """
 
     service_id: str
@@ -159,58 +159,64 @@
     | SetEvacuation
 )
 ChangeT = TypeVar("ChangeT")
-Edit: TypeAlias = Callable[[ChangeT, Service | None], Service]
+ChangeHandler: TypeAlias = Callable[[ChangeT, Service | None], Service]
 
-_edits_by_type: dict[type, Edit[Any]] = {}
+_handlers_by_type: dict[type, ChangeHandler[Any]] = {}
 
 
-def _edits(change_type: type[ChangeT]) -> Callable[[Edit[ChangeT]], Edit[ChangeT]]:
-    def register(edit: Edit[ChangeT]) -> Edit[ChangeT]:
-        _edits_by_type[change_type] = edit
-        return edit
+def _handles(
+    change_type: type[ChangeT],
+) -> Callable[[ChangeHandler[ChangeT]], ChangeHandler[ChangeT]]:
+    def register(handler: ChangeHandler[ChangeT]) -> ChangeHandler[ChangeT]:
+        _handlers_by_type[change_type] = handler
+        return handler
 
     return register
 
 
-def edited(change: Change, current: Service | None) -> Service:
-    """Works out the new content of a service.
+def apply_change(change: Change, current: Service | None) -> Service:
+    """Returns the record of a service after a change.
 
     Args:
         change: The change.
-        current: The service's record, a tombstone included; None without one.
+        current: The current record or tombstone of the service; None if there is
+            neither.
 
     Returns:
-        The new content, not yet checked as a whole.
+        The new record, not yet validated as a whole.
 
     Raises:
-        ChangeRefusedError: The change does not fit the record.
+        ChangeRefusedError: The change can't be applied to the record.
     """
-    return _edits_by_type[type(change)](change, current)
+    return _handlers_by_type[type(change)](change, current)
 
 
-@_edits(CreateService)
+@_handles(CreateService)
 def _create(change: CreateService, current: Service | None) -> Service:
     if current is not None and not current.deleted:
-        raise NameTakenError(f"service {change.service_id} exists")
+        raise NameTakenError(f"service {change.service_id} already exists")
     return attrs.evolve(change.service, deleted=False)
 
 
-@_edits(ReplaceService)
+@_handles(ReplaceService)
 def _replace(change: ReplaceService, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision, required=True)
-    # Both have changes of their own; a whole replacement must not end them.
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision, required=True)
+    # Drains and evacuations have their own changes; a replacement keeps them.
     return attrs.evolve(
-        change.service, drained=live.drained, evacuated=live.evacuated, deleted=False
+        change.service,
+        drained=current_service.drained,
+        evacuated=current_service.evacuated,
+        deleted=False,
     )
 
 
-@_edits(DeleteService)
+@_handles(DeleteService)
 def _delete(change: DeleteService, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision, required=True)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision, required=True)
     return attrs.evolve(
-        live,
+        current_service,
         addresses=(),
         groups=(),
         placement=(),
@@ -220,75 +226,98 @@
     )
 
 
-@_edits(PutGroup)
+@_handles(PutGroup)
 def _put_group(change: PutGroup, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision)
     check_group(change.group)
-    others = tuple(g for g in live.groups if g.group_id != change.group.group_id)
-    return attrs.evolve(live, groups=(*others, change.group))
+    other_groups = tuple(
+        group
+        for group in current_service.groups
+        if group.group_id != change.group.group_id
+    )
+    return attrs.evolve(current_service, groups=(*other_groups, change.group))
 
 
-@_edits(DeleteGroup)
+@_handles(DeleteGroup)
 def _delete_group(change: DeleteGroup, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision)
-    _group_of(live, change.group_id)
-    others = tuple(g for g in live.groups if g.group_id != change.group_id)
-    return attrs.evolve(live, groups=others)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision)
+    _require_group(current_service, change.group_id)
+    other_groups = tuple(
+        group for group in current_service.groups if group.group_id != change.group_id
+    )
+    return attrs.evolve(current_service, groups=other_groups)
 
 
-@_edits(SetShare)
+@_handles(SetShare)
 def _set_share(change: SetShare, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision)
-    changed = attrs.evolve(_group_of(live, change.group_id), share=change.share)
-    check_group(changed)
-    groups = tuple(changed if g.group_id == change.group_id else g for g in live.groups)
-    return attrs.evolve(live, groups=groups)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision)
+    changed_group = attrs.evolve(
+        _require_group(current_service, change.group_id), share=change.share
+    )
+    check_group(changed_group)
+    groups = tuple(
+        changed_group if group.group_id == change.group_id else group
+        for group in current_service.groups
+    )
+    return attrs.evolve(current_service, groups=groups)
 
 
-@_edits(SetDrain)
+@_handles(SetDrain)
 def _set_drain(change: SetDrain, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision)
     check_name("member", change.member_id)
-    others = tuple(m for m in live.drained if m != change.member_id)
-    drained = (*others, change.member_id) if change.drained else others
-    return attrs.evolve(live, drained=drained)
+    other_ids = tuple(
+        member_id
+        for member_id in current_service.drained
+        if member_id != change.member_id
+    )
+    drained = (*other_ids, change.member_id) if change.drained else other_ids
+    return attrs.evolve(current_service, drained=drained)
 
 
-@_edits(SetEvacuation)
+@_handles(SetEvacuation)
 def _set_evacuation(change: SetEvacuation, current: Service | None) -> Service:
-    live = _live(change.service_id, current)
-    _check_seen(live, change.revision)
+    current_service = _require_service(change.service_id, current)
+    _check_revision(current_service, change.revision)
     check_name("failure domain", change.failure_domain)
-    others = tuple(d for d in live.evacuated if d != change.failure_domain)
-    evacuated = (*others, change.failure_domain) if change.evacuated else others
-    return attrs.evolve(live, evacuated=evacuated)
+    other_domains = tuple(
+        domain
+        for domain in current_service.evacuated
+        if domain != change.failure_domain
+    )
+    evacuated = (
+        (*other_domains, change.failure_domain) if change.evacuated else other_domains
+    )
+    return attrs.evolve(current_service, evacuated=evacuated)
 
 
-def _live(service_id: str, current: Service | None) -> Service:
+def _require_service(service_id: str, current: Service | None) -> Service:
     if current is None or current.deleted:
         raise UnknownNameError(f"service {service_id!r} does not exist")
     return current
 
 
-def _group_of(service: Service, group_id: str) -> Group:
+def _require_group(service: Service, group_id: str) -> Group:
     for group in service.groups:
         if group.group_id == group_id:
             return group
     raise UnknownNameError(f"service {service.service_id} has no group {group_id!r}")
 
 
-def _check_seen(current: Service, seen: int, *, required: bool = False) -> None:
-    if seen == 0 and not required:
+def _check_revision(
+    current: Service, expected_revision: int, *, required: bool = False
+) -> None:
+    if expected_revision == 0 and not required:
         return
-    if seen <= 0:
-        raise InvalidChangeError("the revision the change was made from is missing")
-    if seen != current.revision:
+    if expected_revision <= 0:
+        raise InvalidChangeError("the revision that the change is based on is missing")
+    if expected_revision != current.revision:
         raise RevisionConflictError(
             f"service {current.service_id} is at revision {current.revision}, "
-            f"not {seen}",
+            f"not {expected_revision}",
             current.revision,
         )
--- a/src/siskinshift/configuration/exceptions.py
+++ b/src/siskinshift/configuration/exceptions.py
@@ -1,4 +1,4 @@
-"""Refusals of changes; each changed nothing."""
+"""Errors of refused changes. A refused change has no effect."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ChangeRefusedError(SiskinshiftError):
-    """A change that was refused and did not take effect."""
+    """The change was refused and did not take effect."""
 
     kind = ErrorKind.INVALID_ARGUMENT
 
@@ -25,22 +25,22 @@
 
 
 class NameTakenError(ChangeRefusedError):
-    """The service exists already, or an address belongs to another one."""
+    """The service already exists, or another service has one of its addresses."""
 
     kind = ErrorKind.ALREADY_EXISTS
 
 
 class RecordTooLargeError(ChangeRefusedError):
-    """The service's record would be larger than allowed."""
+    """The service's record would exceed the maximum size."""
 
     kind = ErrorKind.TOO_LARGE
 
 
 class RevisionConflictError(ChangeRefusedError):
-    """Another change came first.
+    """Another change to the service was committed first.
 
     Attributes:
-        current_revision: Revision the service is at now.
+        current_revision: Current revision of the service.
     """
 
     kind = ErrorKind.REVISION_CONFLICT
--- a/src/siskinshift/configuration/read_schedule.py
+++ b/src/siskinshift/configuration/read_schedule.py
@@ -1,8 +1,8 @@
-"""Decides when a holder of an entry slot reads the configuration.
+"""Schedules the configuration reads of a balancer that holds an entry slot.
 
-A holder reads all records once, then keeps one watch open on them. The watch may go
-silent without an error, because something on the way lost track of the connection; so
-the root's revision is asked for every few seconds, and a silent watch is opened again.
+A holder reads all records once, then keeps one watch open on them. A middlebox that
+loses the state of the connection can stall the watch without an error. The holder
+therefore polls the root's revision every few seconds, and an idle watch is reopened.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     from siskinshift.settings.generated import KvSettings
 
 
-RETRY = Backoff(minimum=0.2, maximum=5.0)
+RETRY_BACKOFF = Backoff(minimum=0.2, maximum=5.0)
 NEVER_READ = -1
 
 
@@ -32,7 +32,7 @@
 
 @frozen
 class CheckRoot:
-    """Ask for the revision of the root record."""
+    """Poll the revision of the root record."""
 
 
 @frozen
@@ -40,47 +40,47 @@
     """Open a watch.
 
     Attributes:
-        start_revision: First revision to see.
+        start_revision: First revision to receive.
     """
 
     start_revision: int
 
 
-ReadingAction: TypeAlias = ReadAll | CheckRoot | OpenWatch
+ReadAction: TypeAlias = ReadAll | CheckRoot | OpenWatch
 
 
-class ConfigurationReading:
-    """One balancer's reading while it holds an entry slot."""
+class ReadSchedule:
+    """The read schedule of one balancer while it holds an entry slot."""
 
     def __init__(self, settings: KvSettings, *, random: Random) -> None:
-        """Starts with nothing read.
+        """Initializes the schedule with nothing read.
 
         Args:
-            settings: Intervals.
+            settings: Interval of root checks.
             random: Source of jitter.
         """
         self._check_interval = settings.check_interval
         self._random = random
         self._root_revision = NEVER_READ
-        self._seen_revision = 0
+        self._received_revision = 0
         self._is_watching = False
-        self._check_at = 0.0
+        self._next_check_at = 0.0
         self._retry_at = 0.0
         self._failures = 0
 
-    def step(self, *, holds_slot: bool, now: float) -> ReadingAction | None:
-        """Decides what to do now.
+    def step(self, *, holds_slot: bool, now: float) -> ReadAction | None:
+        """Returns the action that is due.
 
         Args:
-            holds_slot: Whether an entry slot is held right now.
+            holds_slot: Whether an entry slot is currently held.
             now: Clock reading, seconds.
 
         Returns:
-            One action to carry out and report, or None.
+            An action whose result is to be reported, or None.
         """
         if not holds_slot:
-            # What happened until the next slot is unknown; it begins anew.
-            self._forget()
+            # Changes until the next slot would be missed, so the state is discarded.
+            self._reset()
             return None
         if now < self._retry_at:
             return None
@@ -88,71 +88,75 @@
             return ReadAll()
         if not self._is_watching:
             self._is_watching = True
-            return OpenWatch(self._seen_revision + 1)
-        if now >= self._check_at:
-            self._check_at = now + self._check_interval * self._random.uniform(0.8, 1.0)
+            return OpenWatch(self._received_revision + 1)
+        if now >= self._next_check_at:
+            self._next_check_at = now + self._check_interval * self._random.uniform(
+                0.8, 1.0
+            )
             return CheckRoot()
         return None
 
-    def on_read(self, *, root_revision: int, revision: int, now: float) -> None:
-        """Takes note of what ReadAll read.
+    def on_all_read(self, *, root_revision: int, revision: int, now: float) -> None:
+        """Records the result of ReadAll.
 
         Args:
             root_revision: Revision of the root record, 0 without one.
-            revision: Revision of the store at that time.
+            revision: Revision of the store at the time of the read.
             now: Clock reading, seconds.
         """
         self._failures = 0
         self._root_revision = root_revision
-        self._seen_revision = max(self._seen_revision, revision)
-        self._check_at = now + self._check_interval * self._random.uniform(0.8, 1.0)
+        self._received_revision = max(self._received_revision, revision)
+        self._next_check_at = now + self._check_interval * self._random.uniform(
+            0.8, 1.0
+        )
 
-    def on_checked(self, *, root_revision: int) -> None:
-        """Takes the answer to CheckRoot.
+    def on_root_checked(self, *, root_revision: int) -> None:
+        """Records the result of CheckRoot.
 
         Args:
             root_revision: Revision of the root record, 0 without one.
         """
         self._failures = 0
         if root_revision > self._root_revision:
-            # The watch missed it, or has not brought it yet.
+            # The watch missed the change or has not delivered it yet.
             self._root_revision = NEVER_READ
 
-    def on_watched(self, *, root_revision: int, revision: int) -> None:
-        """Takes note of a batch of the watch.
+    def on_watch_batch(self, *, root_revision: int, revision: int) -> None:
+        """Records a batch of the watch.
 
         Args:
-            root_revision: Revision of the root record in it, 0 without one.
-            revision: Revision up to which all was seen.
+            root_revision: Revision of the root record in the batch, 0 without one.
+            revision: Revision up to which all changes were received.
         """
         self._failures = 0
-        self._seen_revision = max(self._seen_revision, revision)
+        self._received_revision = max(self._received_revision, revision)
         if self._root_revision != NEVER_READ:
             self._root_revision = max(self._root_revision, root_revision)
 
     def on_watch_ended(self, *, compacted: bool = False) -> None:
-        """Takes note that the watch ended, after a silence for instance.
+        """Records that the watch ended, for example after its idle timeout.
 
         Args:
-            compacted: Whether the store no longer kept what the watch asked for.
+            compacted: Whether the store had compacted the requested revisions.
         """
         self._is_watching = False
         if compacted:
             self._root_revision = NEVER_READ
 
     def on_failed(self, *, now: float) -> None:
-        """Takes note of a call without a good answer.
+        """Records a failed request.
 
         Args:
             now: Clock reading, seconds.
         """
         self._failures += 1
-        self._retry_at = now + RETRY.delay(self._failures, self._random)
+        self._retry_at = now + RETRY_BACKOFF.delay(self._failures, self._random)
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._root_revision = NEVER_READ
-        self._seen_revision = 0
+        self._received_revision = 0
         self._is_watching = False
-        self._check_at = 0.0
+        self._next_check_at = 0.0
         self._retry_at = 0.0
         self._failures = 0
--- a/src/siskinshift/configuration/reader.py
+++ b/src/siskinshift/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration for a balancer while it holds an entry slot."""
+"""Reads the configuration while this balancer holds an entry slot."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from urllib.parse import quote
 
 from siskinshift.configuration.read_schedule import CheckRoot
-from siskinshift.configuration.read_schedule import ConfigurationReading
 from siskinshift.configuration.read_schedule import OpenWatch
 from siskinshift.configuration.read_schedule import ReadAll
+from siskinshift.configuration.read_schedule import ReadSchedule
 from siskinshift.configuration.records import PREFIX
 from siskinshift.configuration.records import ROOT_KEY
 from siskinshift.configuration.records import decode_services
 from siskinshift.control.codec import encode_message
 from siskinshift.core.clocks import monotonic_clock
+from siskinshift.kv.entry_slots import AcquireSlot
 from siskinshift.kv.entry_slots import EntrySlots
-from siskinshift.kv.entry_slots import FindSlot
-from siskinshift.kv.entry_slots import GiveUpSlot
-from siskinshift.kv.entry_slots import KeepSlot
-from siskinshift.kv.entry_slots import TakeSlot
-from siskinshift.kv.entry_slots import standing_in
+from siskinshift.kv.entry_slots import FindFreeSlot
+from siskinshift.kv.entry_slots import RenewLease
+from siskinshift.kv.entry_slots import RevokeLease
+from siskinshift.kv.entry_slots import domain_status
 from siskinshift.kv.exceptions import StoreCompactedError
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinshift.configuration.read_schedule import ReadingAction
+    from siskinshift.configuration.read_schedule import ReadAction
     from siskinshift.core.clocks import Clock
     from siskinshift.core.views import View
     from siskinshift.kv.entry_slots import SlotAction
@@ -53,19 +53,19 @@
 
 
 def entry_slot_prefix(failure_domain: str) -> str:
-    """Names the prefix of a failure domain's entry slots.
+    """Returns the key prefix of a failure domain's entry slots.
 
     Args:
         failure_domain: The failure domain, any text.
 
     Returns:
-        The prefix; the slot's number follows.
+        The prefix, which the slot's number follows.
     """
     return f"{ENTRY_PREFIX}{quote(failure_domain, safe='')}/"
 
 
 class ConfigurationReader:
-    """Carries out what EntrySlots and ConfigurationReading decide."""
+    """Executes the actions of EntrySlots and ReadSchedule against the store."""
 
     def __init__(
         self,
@@ -79,18 +79,18 @@
         clock: Clock = monotonic_clock,
         random: Random | None = None,
     ) -> None:
-        """Prepares a reader.
+        """Initializes the reader.
 
         Args:
-            settings: Intervals, slots, leases.
+            settings: Intervals, number of slots and lease duration.
             store: The key-value service.
-            member: The balancer that reads.
-            on_services: Takes records that were read, tombstones included.
-            on_entry_slot: Takes the revision at which a slot was taken; 0 once it is
-                lost.
+            member: This balancer.
+            on_services: Called with records that were read, including tombstones.
+            on_entry_slot: Called with the revision at which a slot was acquired; 0 once
+                it is lost.
             spawn: Runs a task on a thread of the application.
             clock: Clock of the process.
-            random: Source of jitter; None for one of its own.
+            random: Source of jitter; None creates one.
         """
         random = random or Random()
         self._store = store
@@ -103,13 +103,13 @@
         self._slot_prefix = entry_slot_prefix(member.failure_domain)
         self._lock = threading.Lock()
         self._slots = EntrySlots(settings, random=random)
-        self._reading = ConfigurationReading(settings, random=random)
-        self._told_revision = 0
+        self._schedule = ReadSchedule(settings, random=random)
+        self._notified_revision = 0
         self._watch: Watch | None = None
         self._is_stopped = False
 
     def stop(self) -> None:
-        """Ends the watch and gives the slot up, so that another balancer takes it."""
+        """Closes the watch and releases the slot for another balancer."""
         with self._lock:
             self._is_stopped = True
             watch = self._watch
@@ -117,122 +117,122 @@
         if watch is not None:
             watch.close()
         if lease_id:
-            self._give_up(GiveUpSlot(lease_id))
+            self._revoke_lease(RevokeLease(lease_id))
 
     def holds_slot(self) -> bool:
-        """Tells whether an entry slot is held right now."""
+        """Returns whether an entry slot is currently held."""
         with self._lock:
             return self._slots.held_revision(now=self._clock()) > 0
 
     def update(self, view: View) -> None:
-        """Takes a new view.
+        """Applies a new view.
 
         Args:
             view: The view.
         """
-        standing = standing_in(
+        status = domain_status(
             view,
             member_id=self._member.member_id,
             failure_domain=self._member.failure_domain,
         )
         with self._lock:
-            self._slots.update(standing, now=self._clock())
+            self._slots.update(status, now=self._clock())
 
     def step(self) -> None:
-        """Carries out what is due."""
+        """Executes the actions that are due."""
         with self._lock:
             slot_action = self._slots.step(now=self._clock())
         if slot_action is not None:
-            self._carry_out_slot_action(slot_action)
-        self._tell_slot()
+            self._execute_slot_action(slot_action)
+        self._notify_slot_change()
         with self._lock:
             now = self._clock()
             holds_slot = self._slots.held_revision(now=now) > 0
-            reading_action = self._reading.step(holds_slot=holds_slot, now=now)
+            read_action = self._schedule.step(holds_slot=holds_slot, now=now)
             watch = None if holds_slot else self._watch
         if watch is not None:
             watch.close()
-        if reading_action is not None:
-            self._carry_out_reading_action(reading_action)
+        if read_action is not None:
+            self._execute_read_action(read_action)
 
-    def _tell_slot(self) -> None:
+    def _notify_slot_change(self) -> None:
         with self._lock:
             revision = self._slots.held_revision(now=self._clock())
-            changed = revision != self._told_revision
-            self._told_revision = revision
-        if changed:
-            sentence = "Took an entry slot." if revision else "Lost the entry slot."
-            _log.info(sentence, revision=revision)
+            has_changed = revision != self._notified_revision
+            self._notified_revision = revision
+        if has_changed:
+            message = "Took an entry slot." if revision else "Lost the entry slot."
+            _log.info(message, revision=revision)
             self._on_entry_slot(revision)
 
-    def _carry_out_slot_action(self, action: SlotAction) -> None:
-        if isinstance(action, FindSlot):
-            self._find()
-        elif isinstance(action, TakeSlot):
-            self._take(action)
-        elif isinstance(action, KeepSlot):
-            self._keep(action)
+    def _execute_slot_action(self, action: SlotAction) -> None:
+        if isinstance(action, FindFreeSlot):
+            self._find_free_slot()
+        elif isinstance(action, AcquireSlot):
+            self._acquire_slot(action)
+        elif isinstance(action, RenewLease):
+            self._renew_lease(action)
         else:
-            self._give_up(action)
+            self._revoke_lease(action)
 
-    def _find(self) -> None:
+    def _find_free_slot(self) -> None:
         try:
             snapshot = self._store.list_prefix(self._slot_prefix)
         except StoreUnavailableError:
-            self._slot_failed()
+            self._report_slot_failure()
             return
-        names = [
+        suffixes = [
             entry.key.removeprefix(self._slot_prefix) for entry in snapshot.entries
         ]
-        taken = frozenset(int(name) for name in names if name.isdecimal())
+        taken = frozenset(int(suffix) for suffix in suffixes if suffix.isdecimal())
         with self._lock:
-            self._slots.on_found(taken, now=self._clock())
+            self._slots.on_slots_listed(taken, now=self._clock())
 
-    def _take(self, action: TakeSlot) -> None:
+    def _acquire_slot(self, action: AcquireSlot) -> None:
         holder = EntrySlotHolder(
             member_id=self._member.member_id,
             control=self._member.control,
             incarnation=self._member.incarnation,
         )
         key = f"{self._slot_prefix}{action.index}"
-        asked_at = self._clock()
+        requested_at = self._clock()
         try:
             lease = self._store.grant_lease(self._lease_ttl)
             put = Put(key, encode_message(holder), lease.lease_id)
             result = self._store.transact((Compare(key, 0),), (put,))
         except (StoreUnavailableError, StoreOutcomeUnknownError):
-            # If it was taken all the same, its lease ends without keep-alives.
-            self._slot_failed()
+            # If the write took effect, the lease expires without keep-alives.
+            self._report_slot_failure()
             return
         if not result.succeeded:
-            self._slot_failed()
-            self._give_up(GiveUpSlot(lease.lease_id))
+            self._report_slot_failure()
+            self._revoke_lease(RevokeLease(lease.lease_id))
             return
         with self._lock:
-            self._slots.on_taken(lease, result.revision, asked_at=asked_at)
+            self._slots.on_acquired(lease, result.revision, requested_at=requested_at)
 
-    def _keep(self, action: KeepSlot) -> None:
-        asked_at = self._clock()
+    def _renew_lease(self, action: RenewLease) -> None:
+        requested_at = self._clock()
         try:
             ttl = self._store.keep_alive(action.lease_id)
         except StoreUnavailableError:
             with self._lock:
-                self._slots.on_keep_failed(now=self._clock())
+                self._slots.on_renewal_failed(now=self._clock())
             return
         with self._lock:
-            self._slots.on_kept(ttl, asked_at=asked_at, now=self._clock())
+            self._slots.on_renewed(ttl, requested_at=requested_at, now=self._clock())
 
-    def _give_up(self, action: GiveUpSlot) -> None:
+    def _revoke_lease(self, action: RevokeLease) -> None:
         try:
             self._store.revoke_lease(action.lease_id)
         except StoreUnavailableError:
-            return  # It ends by itself.
+            return  # The lease expires by itself.
 
-    def _slot_failed(self) -> None:
+    def _report_slot_failure(self) -> None:
         with self._lock:
             self._slots.on_failed(now=self._clock())
 
-    def _carry_out_reading_action(self, action: ReadingAction) -> None:
+    def _execute_read_action(self, action: ReadAction) -> None:
         try:
             if isinstance(action, ReadAll):
                 self._read_all()
@@ -242,14 +242,14 @@
                 self._open_watch(action)
         except StoreUnavailableError:
             with self._lock:
-                self._reading.on_failed(now=self._clock())
+                self._schedule.on_failed(now=self._clock())
 
     def _read_all(self) -> None:
         snapshot = self._store.list_prefix(PREFIX)
-        self._pass_on(snapshot.entries)
-        root_revision = _root_revision_in(snapshot.entries)
+        self._deliver(snapshot.entries)
+        root_revision = _root_revision(snapshot.entries)
         with self._lock:
-            self._reading.on_read(
+            self._schedule.on_all_read(
                 root_revision=root_revision,
                 revision=snapshot.revision,
                 now=self._clock(),
@@ -258,33 +258,33 @@
     def _check_root(self) -> None:
         root_revision = self._store.revision_of(ROOT_KEY)
         with self._lock:
-            self._reading.on_checked(root_revision=root_revision)
+            self._schedule.on_root_checked(root_revision=root_revision)
 
     def _open_watch(self, action: OpenWatch) -> None:
         try:
             watch = self._store.watch(PREFIX, action.start_revision)
         except StoreUnavailableError:
             with self._lock:
-                self._reading.on_watch_ended()
+                self._schedule.on_watch_ended()
             raise
         with self._lock:
             self._watch = watch
             is_stopped = self._is_stopped
         if is_stopped:
             watch.close()
-        self._spawn(self._follow, watch)
+        self._spawn(self._run_watch, watch)
 
-    def _follow(self, watch: Watch) -> None:
+    def _run_watch(self, watch: Watch) -> None:
         compacted = False
-        # Whatever ends the task, the decision hears that the watch is over; else none
-        # would be opened again.
+        # The end of the watch is reported whatever ends this task. Otherwise the
+        # schedule would never open another watch.
         failed = True
         try:
             for batch in watch:
-                self._pass_on(batch.entries)
-                root_revision = _root_revision_in(batch.entries)
+                self._deliver(batch.entries)
+                root_revision = _root_revision(batch.entries)
                 with self._lock:
-                    self._reading.on_watched(
+                    self._schedule.on_watch_batch(
                         root_revision=root_revision, revision=batch.revision
                     )
             failed = False
@@ -293,18 +293,18 @@
         except StoreUnavailableError as error:
             _log.repeated("watch", "A watch broke.", error=str(error))
         finally:
-            self._end_watch(watch, compacted=compacted, failed=failed)
+            self._report_watch_end(watch, compacted=compacted, failed=failed)
 
-    def _end_watch(self, watch: Watch, *, compacted: bool, failed: bool) -> None:
+    def _report_watch_end(self, watch: Watch, *, compacted: bool, failed: bool) -> None:
         with self._lock:
             if self._watch is not watch:
                 return
             self._watch = None
-            self._reading.on_watch_ended(compacted=compacted)
+            self._schedule.on_watch_ended(compacted=compacted)
             if failed:
-                self._reading.on_failed(now=self._clock())
+                self._schedule.on_failed(now=self._clock())
 
-    def _pass_on(self, entries: tuple[Entry, ...]) -> None:
+    def _deliver(self, entries: tuple[Entry, ...]) -> None:
         services, unreadable = decode_services(entries)
         for key in unreadable:
             _log.repeated("record", "A record can't be read.", record=key)
@@ -312,5 +312,7 @@
             self._on_services(services)
 
 
-def _root_revision_in(entries: tuple[Entry, ...]) -> int:
-    return max((e.revision for e in entries if e.key == ROOT_KEY), default=0)
+def _root_revision(entries: tuple[Entry, ...]) -> int:
+    return max(
+        (entry.revision for entry in entries if entry.key == ROOT_KEY), default=0
+    )
--- a/src/siskinshift/configuration/records.py
+++ b/src/siskinshift/configuration/records.py
@@ -1,9 +1,9 @@
 """Records of the configuration in the key-value service.
 
 Every change writes one service's record and the root record in one transaction, on
-condition that both are as they were read. So changes take effect one after the other:
-two operators who give one address to two services can't both win, and the root tells
-in one read which changes took effect.
+condition that neither has changed since it was read. Changes are therefore serialized:
+two operators can't assign one address to two services. A single read of the root shows
+which changes took effect.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 ROOT_KEY = PREFIX + "root"
 SERVICE_PREFIX = PREFIX + "service/"
 
-# About seven hours at 410 changes a day: far longer than the answer to a change can
-# be waited for.
-CHANGES_KEPT = 128
+# About seven hours at 410 changes a day, far longer than a client waits for the reply
+# to a change.
+CHANGE_HISTORY_SIZE = 128
 
 
 @frozen
@@ -41,15 +41,15 @@
     """The root record with its revision.
 
     Attributes:
-        root: The record; an empty one when there is none.
-        revision: Its revision; 0 when there is none.
+        root: The record; an empty one if it is absent.
+        revision: Its revision; 0 if it is absent.
     """
 
     root: Root
     revision: int
 
     def find(self, change_id: str) -> AppliedChange | None:
-        """Looks for a change among those kept.
+        """Looks up a change in the change history.
 
         Args:
             change_id: Id of the change.
@@ -63,33 +63,33 @@
         return None
 
     def changes(self) -> tuple[AppliedChange, ...]:
-        """Lists the changes kept.
+        """Lists the change history.
 
         Returns:
-            The changes, oldest first, each with its revision.
+            The latest changes, oldest first, each with its revision.
         """
         return tuple(
             change if change.revision else attrs.evolve(change, revision=self.revision)
             for change in self.root.changes
         )
 
-    def lists_all_since(self, change_count: int) -> bool:
-        """Tells whether no change since then was dropped from the list.
+    def has_all_changes_since(self, change_count: int) -> bool:
+        """Returns whether the history includes every change since a change count.
 
         Args:
-            change_count: The count of changes at that time.
+            change_count: The earlier value of the root's change count.
 
         Returns:
-            Whether the list is whole since then.
+            Whether no change since then was dropped from the history.
         """
         return self.root.change_count - change_count <= len(self.root.changes)
 
     def with_change(self, change_id: str, service_id: str) -> Root:
-        """Works out the root that a change writes.
+        """Returns the root record that a change writes.
 
         Args:
             change_id: Id of the change.
-            service_id: Service it changes.
+            service_id: Service that it changes.
 
         Returns:
             The new root.
@@ -98,11 +98,11 @@
         return attrs.evolve(
             self.root,
             change_count=self.root.change_count + 1,
-            changes=(*self.changes(), added)[-CHANGES_KEPT:],
+            changes=(*self.changes(), added)[-CHANGE_HISTORY_SIZE:],
         )
 
     def with_fence(self) -> Root:
-        """Works out a root that changes nothing but the revision.
+        """Returns a root record that changes only the revision when written.
 
         Returns:
             The new root.
@@ -114,12 +114,12 @@
 
 @frozen
 class Configuration:
-    """All records as they were together.
+    """A consistent snapshot of all records.
 
     Attributes:
         root: The root record.
-        services_by_id: Services with their revisions, deleted ones included.
-        unreadable: Keys of records that can't be read.
+        services_by_id: Services with their revisions, including deleted ones.
+        unreadable: Keys of records that can't be decoded.
         revision: Revision of the store at the time of the read.
     """
 
@@ -130,16 +130,16 @@
 
 
 def decode_root(entry: Entry | None) -> RootEntry:
-    """Reads the root record.
+    """Decodes the root record.
 
     Args:
-        entry: Its entry, or None without one.
+        entry: Its entry; None if it is absent.
 
     Returns:
         The root.
 
     Raises:
-        BadMessageError: The record can't be read.
+        BadMessageError: The record is malformed.
     """
     if entry is None:
         return RootEntry(Root(), 0)
@@ -147,7 +147,7 @@
 
 
 def decode_service(entry: Entry) -> Service:
-    """Reads a service's record.
+    """Decodes a service's record.
 
     Args:
         entry: Its entry.
@@ -156,22 +156,22 @@
         The service with its revision.
 
     Raises:
-        BadMessageError: The record can't be read.
+        BadMessageError: The record is malformed.
     """
     service = decode_message(entry.value, Service)
     if service_key(service.service_id) != entry.key:
-        raise BadMessageError(f"{entry.key} holds another service")
+        raise BadMessageError(f"{entry.key} contains another service")
     return attrs.evolve(service, revision=entry.revision)
 
 
 def decode_services(entries: tuple[Entry, ...]) -> tuple[list[Service], list[str]]:
-    """Reads the records of services among some entries.
+    """Decodes the service records among some entries.
 
     Args:
         entries: Entries of the configuration.
 
     Returns:
-        The services, and the keys of records that can't be read.
+        The services, and the keys of malformed records.
     """
     services: list[Service] = []
     unreadable: list[str] = []
@@ -181,13 +181,13 @@
         try:
             services.append(decode_service(entry))
         except BadMessageError:
-            # One bad record must not keep the others from being read.
+            # One malformed record must not prevent decoding the others.
             unreadable.append(entry.key)
     return services, unreadable
 
 
 def decode_configuration(snapshot: Snapshot) -> Configuration:
-    """Reads all records.
+    """Decodes all records.
 
     Args:
         snapshot: All entries with PREFIX.
@@ -196,12 +196,14 @@
         The configuration.
 
     Raises:
-        BadMessageError: The root record can't be read.
+        BadMessageError: The root record is malformed.
     """
-    root = next((e for e in snapshot.entries if e.key == ROOT_KEY), None)
+    root_entry = next(
+        (entry for entry in snapshot.entries if entry.key == ROOT_KEY), None
+    )
     services, unreadable = decode_services(snapshot.entries)
     return Configuration(
-        root=decode_root(root),
+        root=decode_root(root_entry),
         services_by_id={service.service_id: service for service in services},
         unreadable=tuple(unreadable),
         revision=snapshot.revision,
@@ -209,7 +211,7 @@
 
 
 def service_key(service_id: str) -> str:
-    """Names the key of a service's record.
+    """Returns the key of a service's record.
 
     Args:
         service_id: The service.
@@ -221,7 +223,7 @@
 
 
 def encode_record(record: Service | Root) -> bytes:
-    """Writes a record; the revision is the store's, not part of it.
+    """Encodes a record without its revision, which the store assigns.
 
     Args:
         record: The record.
--- a/src/siskinshift/configuration/store.py
+++ b/src/siskinshift/configuration/store.py
@@ -1,4 +1,4 @@
-"""Operators' configuration in the key-value service."""
+"""Reads and changes the operators' configuration in the key-value service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from siskinshift.configuration.changes import CreateService
 from siskinshift.configuration.changes import ReplaceService
-from siskinshift.configuration.changes import edited
+from siskinshift.configuration.changes import apply_change
 from siskinshift.configuration.exceptions import InvalidChangeError
 from siskinshift.configuration.exceptions import RecordTooLargeError
 from siskinshift.configuration.exceptions import RevisionConflictError
@@ -24,11 +24,11 @@
 from siskinshift.configuration.records import decode_root
 from siskinshift.configuration.records import encode_record
 from siskinshift.configuration.records import service_key
-from siskinshift.configuration.validation import RECORD_SIZE_MAXIMUM
+from siskinshift.configuration.validation import MAX_RECORD_SIZE
 from siskinshift.configuration.validation import check_addresses_free
 from siskinshift.configuration.validation import check_change_id
 from siskinshift.configuration.validation import check_name
-from siskinshift.configuration.validation import checked_service
+from siskinshift.configuration.validation import validate_service
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
@@ -46,12 +46,12 @@
     from siskinshift.messages.configuration import AppliedChange
 
 
-# Changes of other services may come first again and again; at 410 a day even two in
-# a row are rare.
-RACES_MAXIMUM = 8
-# With the pauses below an operator waits some 3 s more before "unknown" is said.
-RESOLVE_TRIES = 4
-RESOLVE_PAUSE = Backoff(minimum=0.2, maximum=1.0)
+# A concurrent change to another service makes the write fail. At 410 changes a day,
+# even two such conflicts in a row are rare.
+MAX_WRITE_ATTEMPTS = 8
+# With the delays below an operator waits about 3 s longer for an "unknown" result.
+MAX_RESOLVE_ATTEMPTS = 4
+RESOLVE_BACKOFF = Backoff(minimum=0.2, maximum=1.0)
 
 
 @frozen
@@ -60,9 +60,9 @@
 
     Attributes:
         change_id: Its id.
-        service_id: Service it changed.
-        revision: Revision it was written at.
-        service: The record it wrote; None when only its id was found later.
+        service_id: Service that it changed.
+        revision: Revision at which it was written.
+        service: The record that it wrote; None if only its id could be found later.
     """
 
     change_id: str
@@ -72,43 +72,43 @@
 
 
 def new_change_id() -> str:
-    """Makes an id for a change.
+    """Generates an id for a change.
 
     Returns:
-        The id, unique.
+        A unique id.
     """
     return uuid.uuid4().hex
 
 
 class ConfigurationStore:
-    """Reads the configuration and makes operators' changes."""
+    """Reads the configuration and applies operators' changes."""
 
     def __init__(
         self,
         store: KeyValueStore,
         *,
-        pause: Callable[[float], None] = time.sleep,
+        sleep: Callable[[float], None] = time.sleep,
         random: Random | None = None,
     ) -> None:
-        """Takes a store.
+        """Initializes the store.
 
         Args:
             store: The key-value service.
-            pause: Waits some seconds.
-            random: Source of jitter; None for one of its own.
+            sleep: Waits for some seconds.
+            random: Source of jitter; None creates one.
         """
         self._store = store
-        self._pause = pause
+        self._sleep = sleep
         self._random = random or Random()
 
     def read(self) -> Configuration:
         """Reads all records.
 
         Returns:
-            The records as they were together.
+            A consistent snapshot of the records.
 
         Raises:
-            StoreUnavailableError: The store did not answer, or the root is unreadable.
+            StoreUnavailableError: The store did not respond, or the root is malformed.
         """
         snapshot = self._store.list_prefix(PREFIX)
         try:
@@ -120,40 +120,40 @@
         """Reads all service records.
 
         Returns:
-            The records with their revisions, tombstones included.
+            The records with their revisions, including tombstones.
 
         Raises:
-            StoreUnavailableError: The store did not answer.
+            StoreUnavailableError: The store did not respond.
         """
         return list(self.read().services_by_id.values())
 
     def find(self, change_id: str) -> AppliedChange | None:
-        """Looks for a change among the latest that took effect.
+        """Looks up a change in the history of changes that took effect.
 
         Args:
             change_id: Id of the change.
 
         Returns:
-            The change, or None. None is no proof that it never takes effect.
+            The change, or None. None does not prove that it will never take effect.
 
         Raises:
-            StoreUnavailableError: The store did not answer.
+            StoreUnavailableError: The store did not respond.
         """
         return self._read_root().find(change_id)
 
     def write(self, service: Service) -> int | None:
-        """Writes a whole service: creates it at revision 0, else replaces it.
+        """Writes a whole service: creates it if its revision is 0, else replaces it.
 
         Args:
-            service: The new record with the revision it replaces.
+            service: The new record with the revision that it replaces.
 
         Returns:
-            The new revision, or None when another change came first.
+            The new revision, or None if another change was committed first.
 
         Raises:
-            ChangeRefusedError: A value is not allowed.
-            StoreUnavailableError: It did not take effect.
-            StoreOutcomeUnknownError: It may have taken effect.
+            ChangeRefusedError: A value is invalid.
+            StoreUnavailableError: The change did not take effect.
+            StoreOutcomeUnknownError: The change may have taken effect.
         """
         change: Change = CreateService(service)
         if service.revision:
@@ -164,74 +164,76 @@
             return None
 
     def apply(self, change: Change, change_id: str) -> AcceptedChange:
-        """Makes a change.
+        """Applies a change.
 
         Args:
             change: The change.
-            change_id: Its id. A change that is sent again with the id of one that
-                took effect is answered as accepted and not made twice.
+            change_id: Its id, which makes retries idempotent: a change with the id of
+                one that took effect is reported as accepted and not applied again.
 
         Returns:
             The accepted change.
 
         Raises:
-            ChangeRefusedError: It was refused; nothing changed.
+            ChangeRefusedError: It was refused and had no effect.
             StoreUnavailableError: It did not take effect and never will.
-            StoreOutcomeUnknownError: It may have taken effect or may yet do so.
+            StoreOutcomeUnknownError: It may have taken effect or may still do so.
         """
         check_change_id(change_id)
         check_name("service", change.service_id)
-        for _ in range(RACES_MAXIMUM):
-            before = self.read()
-            known = before.root.find(change_id)
-            if known is not None:
-                return _accepted_before(known, change, before)
-            planned = _planned(change, change_id, before)
-            accepted = self._try_write(planned, before)
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            configuration = self.read()
+            applied = configuration.root.find(change_id)
+            if applied is not None:
+                return _accepted_earlier(applied, change, configuration)
+            record = _changed_record(change, change_id, configuration)
+            accepted = self._try_write(record, configuration)
             if accepted is not None:
                 return accepted
-        raise StoreUnavailableError("other changes kept coming first")
+        raise StoreUnavailableError("too many conflicts with concurrent changes")
 
     def _try_write(
-        self, planned: Service, before: Configuration
+        self, record: Service, configuration: Configuration
     ) -> AcceptedChange | None:
-        """Writes; None when another change came first and this one never will."""
-        current = before.services_by_id.get(planned.service_id)
-        key = service_key(planned.service_id)
-        root = before.root.with_change(planned.change_id, planned.service_id)
+        """Writes a record; returns None after a conflict that rules it out for good."""
+        current = configuration.services_by_id.get(record.service_id)
+        key = service_key(record.service_id)
+        root = configuration.root.with_change(record.change_id, record.service_id)
         compares = (
-            Compare(ROOT_KEY, before.root.revision),
+            Compare(ROOT_KEY, configuration.root.revision),
             Compare(key, current.revision if current else 0),
         )
-        puts = (Put(key, encode_record(planned)), Put(ROOT_KEY, encode_record(root)))
+        puts = (Put(key, encode_record(record)), Put(ROOT_KEY, encode_record(root)))
         try:
             result = self._store.transact(compares, puts)
         except StoreOutcomeUnknownError:
-            return self._resolve(planned, before.root)
+            return self._resolve(record, configuration.root)
         if not result.succeeded:
             return None
-        return _accepted(planned, result.revision)
+        return _accepted(record, result.revision)
 
-    def _resolve(self, planned: Service, before: RootEntry) -> AcceptedChange | None:
-        """Finds out what became of a write whose answer was lost.
+    def _resolve(
+        self, record: Service, earlier_root: RootEntry
+    ) -> AcceptedChange | None:
+        """Determines the outcome of a write whose response was lost.
 
-        Failure: the write may have taken effect, or may still be under way and do so
-        later, so "not there yet" proves nothing. The write compares the root's
-        revision: once the root has moved on it can't take effect any more. So either
-        the root has moved on already, or a fence moves it; then its list of changes
-        tells the truth.
+        The write may have taken effect, or may still be in transit and do so later, so
+        its absence proves nothing. The write compares the root's revision: once that
+        has advanced, the write can no longer take effect. If the revision has not
+        advanced, a fence advances it. After that, the change history in the root is
+        conclusive.
         """
-        for attempt in range(1, RESOLVE_TRIES + 1):
+        for attempt in range(1, MAX_RESOLVE_ATTEMPTS + 1):
             try:
                 root = self._read_root()
-                if root.revision == before.revision:
+                if root.revision == earlier_root.revision:
                     self._write_fence(root)
                     continue
             except (StoreUnavailableError, StoreOutcomeUnknownError):
-                self._pause(RESOLVE_PAUSE.delay(attempt, self._random))
+                self._sleep(RESOLVE_BACKOFF.delay(attempt, self._random))
                 continue
-            return _settled(planned, before, root)
-        raise StoreOutcomeUnknownError(_unknown_text(planned))
+            return _resolved_change(record, earlier_root, root)
+        raise StoreOutcomeUnknownError(_unknown_outcome_message(record))
 
     def _write_fence(self, root: RootEntry) -> None:
         self._store.transact(
@@ -246,61 +248,64 @@
             raise StoreUnavailableError(f"root record: {error}") from error
 
 
-def _planned(change: Change, change_id: str, before: Configuration) -> Service:
+def _changed_record(
+    change: Change, change_id: str, configuration: Configuration
+) -> Service:
     key = service_key(change.service_id)
-    if key in before.unreadable:
-        raise StoreUnavailableError(f"record {key} can't be read")
-    current = before.services_by_id.get(change.service_id)
-    planned = edited(change, current)
-    if not planned.deleted:
-        planned = checked_service(planned)
-        check_addresses_free(planned, before.services_by_id.values())
-    planned = attrs.evolve(planned, change_id=change_id, revision=0)
-    size = len(encode_record(planned))
-    if size > RECORD_SIZE_MAXIMUM:
+    if key in configuration.unreadable:
+        raise StoreUnavailableError(f"record {key} is malformed")
+    current = configuration.services_by_id.get(change.service_id)
+    record = apply_change(change, current)
+    if not record.deleted:
+        record = validate_service(record)
+        check_addresses_free(record, configuration.services_by_id.values())
+    record = attrs.evolve(record, change_id=change_id, revision=0)
+    size = len(encode_record(record))
+    if size > MAX_RECORD_SIZE:
         raise RecordTooLargeError(
-            f"record of {size} bytes: allowed up to {RECORD_SIZE_MAXIMUM}"
+            f"record has {size} bytes; allowed: up to {MAX_RECORD_SIZE}"
         )
-    return planned
+    return record
 
 
-def _accepted(planned: Service, revision: int) -> AcceptedChange:
+def _accepted(record: Service, revision: int) -> AcceptedChange:
     return AcceptedChange(
-        change_id=planned.change_id,
-        service_id=planned.service_id,
+        change_id=record.change_id,
+        service_id=record.service_id,
         revision=revision,
-        service=attrs.evolve(planned, revision=revision),
+        service=attrs.evolve(record, revision=revision),
     )
 
 
-def _accepted_before(
-    known: AppliedChange, change: Change, before: Configuration
+def _accepted_earlier(
+    applied: AppliedChange, change: Change, configuration: Configuration
 ) -> AcceptedChange:
-    if known.service_id != change.service_id:
+    if applied.service_id != change.service_id:
         raise InvalidChangeError(
-            f"change id {known.change_id} was used for service {known.service_id}"
+            f"change id {applied.change_id} was already used for service "
+            f"{applied.service_id}"
         )
-    service = before.services_by_id.get(known.service_id)
-    if service is not None and service.revision != known.revision:
+    service = configuration.services_by_id.get(applied.service_id)
+    if service is not None and service.revision != applied.revision:
         service = None
     return AcceptedChange(
-        change_id=known.change_id,
-        service_id=known.service_id,
-        revision=known.revision,
+        change_id=applied.change_id,
+        service_id=applied.service_id,
+        revision=applied.revision,
         service=service,
     )
 
 
-def _settled(
-    planned: Service, before: RootEntry, root: RootEntry
+def _resolved_change(
+    record: Service, earlier_root: RootEntry, root: RootEntry
 ) -> AcceptedChange | None:
-    found = root.find(planned.change_id)
-    if found is not None:
-        return _accepted(planned, found.revision)
-    if root.lists_all_since(before.root.change_count):
+    applied = root.find(record.change_id)
+    if applied is not None:
+        return _accepted(record, applied.revision)
+    if root.has_all_changes_since(earlier_root.root.change_count):
         return None
-    raise StoreOutcomeUnknownError(_unknown_text(planned))
+    raise StoreOutcomeUnknownError(_unknown_outcome_message(record))
 
 
-def _unknown_text(planned: Service) -> str:
-    return f"change {planned.change_id} may have taken effect; ask for it by its id"
+def _unknown_outcome_message(record: Service) -> str:
+    return f"change {record.change_id} may have taken effect; look it up by its id"
--- a/src/siskinshift/configuration/table.py
+++ b/src/siskinshift/configuration/table.py
@@ -1,4 +1,4 @@
-"""Configuration records held by a process; a record never goes back."""
+"""A process's copy of the configuration; a record is never replaced by an older one."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 class ServiceTable:
     """Merges records by their revision in the key-value service.
 
-    Failure: gossip, a paused reader or a restart during an outage bring records that
-    are older than the one held. The order of revisions is the order in which changes
-    were accepted, so only a higher one replaces; a deleted service stays as a
-    tombstone, or an older record would bring it back.
+    Gossip, a paused reader or a restart during an outage may deliver records that are
+    older than the current one. Revisions increase in the order in which changes were
+    accepted, so only a record with a higher revision replaces another. A deleted
+    service remains as a tombstone, because an older record would restore it.
 
     Attributes:
-        services_by_id: Records held, tombstones included; replaced with each change,
-            never altered, so that any thread may walk through it.
-        generation: Counts the changes.
-        revision: Highest revision held.
+        services_by_id: Current records, including tombstones. The mapping is replaced
+            with each change and never modified, so any thread may iterate over it.
+        generation: Number of changes so far.
+        revision: Highest revision of the records.
     """
 
     def __init__(self) -> None:
@@ -35,31 +35,31 @@
         self._lock = threading.Lock()
 
     def merge(self, service: Service) -> bool:
-        """Takes a record.
+        """Merges a record.
 
         Args:
             service: The record with its revision.
 
         Returns:
-            Whether it was newer than the one held.
+            Whether it was newer than the current one.
         """
         return self.merge_all((service,))
 
     def merge_all(self, services: Iterable[Service]) -> bool:
-        """Takes records.
+        """Merges records.
 
         Args:
             services: The records with their revisions.
 
         Returns:
-            Whether any was newer than the one held.
+            Whether any was newer than the current one.
         """
         with self._lock:
             merged = dict(self.services_by_id)
             changed = False
             for service in services:
-                known = merged.get(service.service_id)
-                if known is not None and known.revision >= service.revision:
+                current = merged.get(service.service_id)
+                if current is not None and current.revision >= service.revision:
                     continue
                 merged[service.service_id] = service
                 self.revision = max(self.revision, service.revision)
--- a/src/siskinshift/kv/__init__.py
+++ b/src/siskinshift/kv/__init__.py
@@ -1,3 +1,3 @@
-"""Port to the platform's key-value service."""
+"""Access to the platform's key-value service."""
 
 from __future__ import annotations
--- a/src/siskinshift/kv/etcd.py
+++ b/src/siskinshift/kv/etcd.py
@@ -1,8 +1,8 @@
-"""Adapter to the etcd v3 JSON-over-HTTP protocol.
+"""Client of etcd's v3 JSON-over-HTTP gateway.
 
-Source: the published etcd v3 API (KV, Lease and Watch services) with its JSON
-mapping: bytes are base64, 64-bit integers are strings, default values are left out,
-streamed answers are one JSON document a line with the message under "result".
+It implements the published etcd v3 API (KV, Lease and Watch services) with its JSON
+mapping: bytes are base64, 64-bit integers are strings, and default values are omitted.
+Streamed responses have one JSON document per line with the message under "result".
 """
 
 from __future__ import annotations
@@ -52,8 +52,8 @@
 LEASE_REVOKE_PATH = "/v3/lease/revoke"
 WATCH_PATH = "/v3/watch"
 
-# What a document of the wrong shape raises while it is taken apart.
-MALFORMED = (
+# Raised while decoding a document with an unexpected structure.
+MALFORMED_ERRORS = (
     AttributeError,
     IndexError,
     KeyError,
@@ -64,7 +64,7 @@
 
 
 class EtcdStore:
-    """KeyValueStore over etcd's JSON gateway, behind a call guard."""
+    """KeyValueStore over etcd's JSON gateway, protected by a CallGuard."""
 
     def __init__(
         self,
@@ -74,12 +74,12 @@
         transport: EtcdTransport | None = None,
         clock: Clock = monotonic_clock,
     ) -> None:
-        """Prepares the adapter; connects with each call.
+        """Initializes the store, which connects with each request.
 
         Args:
-            settings: Endpoints, time-outs, rates.
-            call_class: Who waits for its calls.
-            transport: Carries the calls; None for HTTP.
+            settings: Endpoints, timeouts and rate limits.
+            call_class: Priority class of its requests.
+            transport: Sends the requests; None for HTTP.
             clock: Clock of the process.
         """
         self._call_class = call_class
@@ -89,13 +89,13 @@
         self._clock = clock
 
     def with_call_class(self, call_class: CallClass) -> EtcdStore:
-        """Makes an adapter that shares this one's budget and circuit breaker.
+        """Returns a store of another class that shares the rate limit and breaker.
 
         Args:
-            call_class: Who waits for its calls.
+            call_class: Priority class of its requests.
 
         Returns:
-            The adapter.
+            The store.
         """
         shared = copy.copy(self)
         shared._call_class = call_class
@@ -103,9 +103,9 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether the last call was answered well; True before the first one."""
+        """Whether the last request succeeded; True before the first one."""
         with self._guard_lock:
-            return self._guard.healthy
+            return self._guard.is_healthy
 
     def get(self, key: str) -> Entry | None:
         """Reads one entry.
@@ -114,13 +114,15 @@
             key: The key.
 
         Returns:
-            The entry, or None when the key is absent.
+            The entry, or None if the key is absent.
 
         Raises:
-            StoreUnavailableError: No good answer in time.
+            StoreUnavailableError: No valid response arrived in time.
         """
-        answer = self._read(RANGE_PATH, {"key": _encode(key.encode())})
-        entries = _snapshot_of(answer).entries
+        response = self._request_idempotent(
+            RANGE_PATH, {"key": _encode_base64(key.encode())}
+        )
+        entries = _decode_snapshot(response).entries
         return entries[0] if entries else None
 
     def revision_of(self, key: str) -> int:
@@ -130,117 +132,124 @@
             key: The key.
 
         Returns:
-            The revision, 0 when the key is absent.
+            The revision, 0 if the key is absent.
 
         Raises:
-            StoreUnavailableError: No good answer in time.
+            StoreUnavailableError: No valid response arrived in time.
         """
-        body = {"key": _encode(key.encode()), "keys_only": True}
-        entries = _snapshot_of(self._read(RANGE_PATH, body)).entries
+        body = {"key": _encode_base64(key.encode()), "keys_only": True}
+        entries = _decode_snapshot(self._request_idempotent(RANGE_PATH, body)).entries
         return entries[0].revision if entries else 0
 
     def list_prefix(self, prefix: str) -> Snapshot:
-        """Reads all entries whose key begins with a prefix.
+        """Reads all entries whose keys have a prefix.
 
         Args:
             prefix: The prefix, not empty.
 
         Returns:
-            The entries as they were together.
+            A consistent snapshot of the entries.
 
         Raises:
-            StoreUnavailableError: No good answer in time.
+            StoreUnavailableError: No valid response arrived in time.
         """
-        return _snapshot_of(self._read(RANGE_PATH, _prefix_range(prefix)))
+        return _decode_snapshot(
+            self._request_idempotent(RANGE_PATH, _prefix_range(prefix))
+        )
 
     def transact(
         self, compares: tuple[Compare, ...], operations: tuple[Operation, ...]
     ) -> TransactionResult:
-        """Does all operations in one step if all conditions hold, else none.
+        """Atomically applies all operations if all conditions hold, else none.
 
         Args:
             compares: Conditions.
-            operations: What to do.
+            operations: Writes and deletions.
 
         Returns:
-            Whether it was done, and the revision.
+            Whether it was applied, and the revision.
 
         Raises:
-            StoreUnavailableError: It did not take effect.
-            StoreOutcomeUnknownError: It may have taken effect.
+            StoreUnavailableError: The transaction did not take effect.
+            StoreOutcomeUnknownError: The transaction may have taken effect.
         """
         body = {
-            "compare": [_compare_body(compare) for compare in compares],
-            "success": [_operation_body(operation) for operation in operations],
+            "compare": [_encode_compare(compare) for compare in compares],
+            "success": [_encode_operation(operation) for operation in operations],
         }
-        answer = self._write(TRANSACTION_PATH, body)
+        response = self._request(TRANSACTION_PATH, body)
         try:
-            succeeded = answer.get("succeeded", False)
+            succeeded = response.get("succeeded", False)
             if not isinstance(succeeded, bool):
                 raise TypeError("succeeded")
-            return TransactionResult(succeeded, _revision_of(answer))
-        except MALFORMED as error:
-            raise StoreOutcomeUnknownError("answer can't be read") from error
+            return TransactionResult(succeeded, _decode_revision(response))
+        except MALFORMED_ERRORS as error:
+            raise StoreOutcomeUnknownError("malformed response") from error
 
     def grant_lease(self, ttl: float) -> Lease:
-        """Makes a lease.
+        """Grants a lease.
 
         Args:
-            ttl: Life without a keep-alive, seconds; whole ones in the protocol.
+            ttl: Time until it expires without a keep-alive, seconds. The protocol has
+                whole seconds.
 
         Returns:
             The lease.
 
         Raises:
-            StoreUnavailableError: No good answer; an unknown lease lapses by itself.
+            StoreUnavailableError: No valid response; a granted lease expires by itself.
         """
-        answer = self._read(LEASE_GRANT_PATH, {"TTL": str(max(1, round(ttl)))})
+        response = self._request_idempotent(
+            LEASE_GRANT_PATH, {"TTL": str(max(1, round(ttl)))}
+        )
         try:
-            return Lease(int(answer["ID"]), float(int(answer["TTL"])))
-        except MALFORMED as error:
-            raise StoreUnavailableError("answer can't be read") from error
+            return Lease(int(response["ID"]), float(int(response["TTL"])))
+        except MALFORMED_ERRORS as error:
+            raise StoreUnavailableError("malformed response") from error
 
     def keep_alive(self, lease_id: int) -> float:
-        """Prolongs a lease.
+        """Renews a lease.
 
         Args:
             lease_id: The lease.
 
         Returns:
-            Seconds it has left from the call on; 0 when it lapsed.
+            Remaining seconds from the time of the request; 0 if it expired.
 
         Raises:
-            StoreUnavailableError: No good answer in time.
+            StoreUnavailableError: No valid response arrived in time.
         """
-        answer = self._read(LEASE_KEEP_ALIVE_PATH, {"ID": str(lease_id)})
+        response = self._request_idempotent(
+            LEASE_KEEP_ALIVE_PATH, {"ID": str(lease_id)}
+        )
         try:
-            return float(int(answer["result"].get("TTL", "0")))
-        except MALFORMED as error:
-            raise StoreUnavailableError("answer can't be read") from error
+            return float(int(response["result"].get("TTL", "0")))
+        except MALFORMED_ERRORS as error:
+            raise StoreUnavailableError("malformed response") from error
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease and removes its keys.
+        """Revokes a lease and removes its keys.
 
         Args:
             lease_id: The lease.
 
         Raises:
-            StoreUnavailableError: No good answer; the lease lapses by itself.
+            StoreUnavailableError: No valid response; the lease expires by itself.
         """
-        self._read(LEASE_REVOKE_PATH, {"ID": str(lease_id)})
+        self._request_idempotent(LEASE_REVOKE_PATH, {"ID": str(lease_id)})
 
     def watch(self, prefix: str, start_revision: int) -> EtcdWatch:
         """Opens a watch.
 
         Args:
             prefix: Prefix of the keys, not empty.
-            start_revision: First revision to see.
+            start_revision: First revision to receive.
 
         Returns:
             The watch.
 
         Raises:
-            StoreUnavailableError: It could not be opened.
+            StoreUnavailableError: The watch could not be opened.
         """
         create = _prefix_range(prefix) | {"start_revision": str(start_revision)}
         self._admit()
@@ -248,43 +257,44 @@
             body = orjson.dumps({"create_request": create})
             stream = self._transport.stream(WATCH_PATH, body)
         except StoreUnavailableError:
-            self._failed()
+            self._record_failure()
             raise
-        self._succeeded()
+        self._record_success()
         return EtcdWatch(stream)
 
-    def _read(self, path: str, body: object) -> dict[str, Any]:
-        # A call that can't change the configuration has no unknown outcome.
+    def _request_idempotent(self, path: str, body: object) -> dict[str, Any]:
+        # A request that can't change the configuration may be repeated, so an unknown
+        # outcome counts as unavailable.
         try:
-            return self._write(path, body)
+            return self._request(path, body)
         except StoreOutcomeUnknownError as error:
             raise StoreUnavailableError(str(error)) from error
 
-    def _write(self, path: str, body: object) -> dict[str, Any]:
+    def _request(self, path: str, body: object) -> dict[str, Any]:
         self._admit()
         try:
-            answer = self._transport.post(path, orjson.dumps(body))
+            response = self._transport.post(path, orjson.dumps(body))
         except (StoreUnavailableError, StoreOutcomeUnknownError):
-            self._failed()
+            self._record_failure()
             raise
-        if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            # etcd answers so also when a write timed out after it was proposed.
-            self._failed()
-            raise StoreOutcomeUnknownError(f"status {answer.status}")
-        if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
-            self._failed()
-            raise StoreUnavailableError("the store limits its rate")
-        if answer.status != HTTPStatus.OK:
-            raise StoreUnavailableError(f"refused with status {answer.status}")
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            # etcd also returns this when a write timed out after it was proposed.
+            self._record_failure()
+            raise StoreOutcomeUnknownError(f"status {response.status}")
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
+            self._record_failure()
+            raise StoreUnavailableError("the store limits the request rate")
+        if response.status != HTTPStatus.OK:
+            raise StoreUnavailableError(f"refused with status {response.status}")
         try:
-            document = orjson.loads(answer.body)
+            document = orjson.loads(response.body)
         except orjson.JSONDecodeError as error:
-            self._failed()
-            raise StoreOutcomeUnknownError("answer is no JSON") from error
+            self._record_failure()
+            raise StoreOutcomeUnknownError("response is not JSON") from error
         if not isinstance(document, dict):
-            self._failed()
-            raise StoreOutcomeUnknownError("answer is no JSON object")
-        self._succeeded()
+            self._record_failure()
+            raise StoreOutcomeUnknownError("response is not a JSON object")
+        self._record_success()
         return document
 
     def _admit(self) -> None:
@@ -293,115 +303,119 @@
         if admission is not Admission.ADMITTED:
             raise StoreUnavailableError(admission.value)
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         with self._guard_lock:
-            self._guard.succeeded()
+            self._guard.record_success()
 
-    def _failed(self) -> None:
+    def _record_failure(self) -> None:
         with self._guard_lock:
-            self._guard.failed(now=self._clock())
+            self._guard.record_failure(now=self._clock())
 
 
 class EtcdWatch:
-    """An open watch of the adapter."""
+    """An open watch of EtcdStore."""
 
     def __init__(self, stream: LineStream) -> None:
         self._stream = stream
 
     def __iter__(self) -> Iterator[WatchBatch]:
-        """Waits for changes until the stream ends.
+        """Yields changes until the stream ends.
 
         Yields:
-            Each batch; those without a change carry the revision alone.
+            Each batch; a batch without changes has only the revision.
 
         Raises:
-            StoreCompactedError: The start revision is no longer kept.
-            StoreUnavailableError: The store ended the watch or sent nonsense.
+            StoreCompactedError: The start revision was compacted.
+            StoreUnavailableError: The store canceled the watch or sent malformed data.
         """
         try:
             for line in self._stream:
-                yield _batch_of(line)
+                yield _decode_batch(line)
         finally:
             self.close()
 
     def close(self) -> None:
-        """Ends the watch, also one that waits in another thread."""
+        """Closes the watch, even while another thread waits on it."""
         self._stream.close()
 
 
-def _encode(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
-def _decode(text: str) -> bytes:
+def _decode_base64(text: str) -> bytes:
     return base64.b64decode(text, validate=True)
 
 
 def _prefix_range(prefix: str) -> dict[str, str]:
     key = prefix.encode()
     range_end = key[:-1] + bytes([key[-1] + 1])
-    return {"key": _encode(key), "range_end": _encode(range_end)}
+    return {"key": _encode_base64(key), "range_end": _encode_base64(range_end)}
 
 
-def _compare_body(compare: Compare) -> dict[str, str]:
+def _encode_compare(compare: Compare) -> dict[str, str]:
     return {
-        "key": _encode(compare.key.encode()),
+        "key": _encode_base64(compare.key.encode()),
         "target": "MOD",
         "result": "EQUAL",
         "mod_revision": str(compare.revision),
     }
 
 
-def _operation_body(operation: Operation) -> dict[str, Any]:
-    key = _encode(operation.key.encode())
+def _encode_operation(operation: Operation) -> dict[str, Any]:
+    key = _encode_base64(operation.key.encode())
     if not isinstance(operation, Put):
         return {"request_delete_range": {"key": key}}
-    put = {"key": key, "value": _encode(operation.value)}
+    put = {"key": key, "value": _encode_base64(operation.value)}
     if operation.lease_id:
         put["lease"] = str(operation.lease_id)
     return {"request_put": put}
 
 
-def _revision_of(answer: dict[str, Any]) -> int:
-    revision = int(answer["header"]["revision"])
+def _decode_revision(response: dict[str, Any]) -> int:
+    revision = int(response["header"]["revision"])
     if revision <= 0:
         raise ValueError("revision")
     return revision
 
 
-def _snapshot_of(answer: dict[str, Any]) -> Snapshot:
+def _decode_snapshot(response: dict[str, Any]) -> Snapshot:
     try:
-        entries = tuple(_entry_of(item) for item in answer.get("kvs") or ())
-        return Snapshot(entries, _revision_of(answer))
-    except MALFORMED as error:
-        raise StoreUnavailableError("answer can't be read") from error
+        entries = tuple(_decode_entry(item) for item in response.get("kvs") or ())
+        return Snapshot(entries, _decode_revision(response))
+    except MALFORMED_ERRORS as error:
+        raise StoreUnavailableError("malformed response") from error
 
 
-def _entry_of(item: dict[str, str]) -> Entry:
+def _decode_entry(item: dict[str, str]) -> Entry:
     return Entry(
-        key=_decode(item["key"]).decode(),
-        value=_decode(item.get("value", "")),
+        key=_decode_base64(item["key"]).decode(),
+        value=_decode_base64(item.get("value", "")),
         revision=int(item["mod_revision"]),
     )
 
 
-def _batch_of(line: bytes) -> WatchBatch:
+def _decode_batch(line: bytes) -> WatchBatch:
     try:
         result = orjson.loads(line)["result"]
         if int(result.get("compact_revision", "0")):
             raise StoreCompactedError("the start revision was compacted")
         if result.get("canceled"):
-            raise StoreUnavailableError("the store ended the watch")
+            raise StoreUnavailableError("the store canceled the watch")
         events = result.get("events") or ()
         return WatchBatch(
-            entries=tuple(_entry_of(e["kv"]) for e in events if not _is_delete(e)),
+            entries=tuple(
+                _decode_entry(event["kv"]) for event in events if not _is_delete(event)
+            ),
             deleted_keys=tuple(
-                _decode(e["kv"]["key"]).decode() for e in events if _is_delete(e)
+                _decode_base64(event["kv"]["key"]).decode()
+                for event in events
+                if _is_delete(event)
             ),
-            revision=_revision_of(result),
+            revision=_decode_revision(result),
         )
-    except MALFORMED as error:
-        raise StoreUnavailableError("watch can't be read") from error
+    except MALFORMED_ERRORS as error:
+        raise StoreUnavailableError("malformed watch response") from error
 
 
 def _is_delete(event: dict[str, Any]) -> bool:
--- a/src/siskinshift/kv/exceptions.py
+++ b/src/siskinshift/kv/exceptions.py
@@ -7,16 +7,16 @@
 
 
 class StoreUnavailableError(SiskinshiftError):
-    """The call certainly did not take effect."""
+    """The request did not take effect."""
 
     kind = ErrorKind.STORE_UNAVAILABLE
 
 
 class StoreCompactedError(StoreUnavailableError):
-    """A watch asked for revisions that the store no longer keeps; read anew."""
+    """A watch requested revisions that the store has compacted; read all again."""
 
 
 class StoreOutcomeUnknownError(SiskinshiftError):
-    """The answer to a write was lost; it may have taken effect."""
+    """The response to a write was lost; the write may have taken effect."""
 
     kind = ErrorKind.OUTCOME_UNKNOWN
--- a/src/siskinshift/kv/guard.py
+++ b/src/siskinshift/kv/guard.py
@@ -1,7 +1,7 @@
-"""Decides whether a call to the key-value service may be made now.
+"""Rate limit and circuit breaker for requests to the key-value service.
 
-The service is small and shared: its rates grow more slowly than the fleet, and it
-has outages. Without a guard a fleet that waits for it would keep it down.
+The service is small and shared: its rate limits grow more slowly than the fleet, and it
+has outages. Without a guard, the retries of the fleet would prolong an outage.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
     from random import Random
 
 
-# Three in a row: one lost call is ordinary, three are an outage.
-FAILURES_TO_OPEN = 3
-# Short enough that a store which is back is used again within seconds.
-OPEN_SECONDS_MINIMUM = 0.5
-OPEN_SECONDS_MAXIMUM = 5.0
-# A quarter of the burst is kept for operators, who wait for their answer.
-OPERATORS_PART = 0.25
+# A single lost request is normal; three in a row indicate an outage.
+FAILURE_THRESHOLD = 3
+# Short enough to use a recovered store again within seconds.
+MIN_OPEN_SECONDS = 0.5
+MAX_OPEN_SECONDS = 5.0
+# Fraction of the burst that is reserved for operators, who wait for the response.
+OPERATOR_RESERVE_FRACTION = 0.25
 
 
 class CallRates(Protocol):
-    """Settings of a store's client that the guard needs."""
+    """The rate settings of a store client."""
 
     @property
     def call_rate(self) -> float:
-        """Calls a second on average."""
+        """Average rate limit, requests/s."""
 
     @property
     def call_burst(self) -> int:
-        """Calls at once."""
+        """Maximum burst, requests."""
 
 
 class CallClass(StrEnum):
-    """Who waits for a call."""
+    """Priority class of a request."""
 
     OPERATOR = "operator"
     BACKGROUND = "background"
 
 
 class Admission(StrEnum):
-    """Answer to a call that asks to be made."""
+    """Result of admission control for a request."""
 
     ADMITTED = "admitted"
     OVER_BUDGET = "call budget used up"
@@ -55,27 +55,27 @@
 
 @frozen
 class Backoff:
-    """Exponential back-off with jitter.
+    """Exponential backoff with jitter.
 
-    Jitter, because processes that failed together must not come back together.
+    The jitter prevents processes that failed together from retrying together.
 
     Attributes:
-        minimum: Longest first pause, seconds.
-        maximum: Longest pause of all, seconds.
+        minimum: Upper bound of the first delay, seconds.
+        maximum: Upper bound of all delays, seconds.
     """
 
     minimum: float
     maximum: float
 
     def delay(self, failures: int, random: Random) -> float:
-        """Draws the pause after some failures in a row.
+        """Draws the delay after some consecutive failures.
 
         Args:
-            failures: Failures so far, 1 or more.
+            failures: Consecutive failures, 1 or more.
             random: Source of the jitter.
 
         Returns:
-            Seconds, from half the bound to the bound.
+            Seconds, from half the current bound to the bound.
         """
         # The exponent is capped: 2 ** failures overflows during a long outage.
         bound = min(self.maximum, self.minimum * 2.0 ** min(failures - 1, 16))
@@ -83,33 +83,33 @@
 
 
 class TokenBucket:
-    """A rate with a burst."""
+    """A token bucket rate limiter."""
 
     def __init__(self, *, rate: float, burst: float) -> None:
-        """Starts full.
+        """Initializes a full bucket.
 
         Args:
-            rate: Tokens a second.
-            burst: Most tokens held.
+            rate: Tokens per second.
+            burst: Maximum number of tokens.
         """
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at = float("-inf")
+        self._refilled_at = float("-inf")
 
-    def take(self, *, now: float, reserve: float = 0.0) -> bool:
-        """Takes a token unless that would go into the reserve.
+    def try_take(self, *, now: float, reserve: float = 0.0) -> bool:
+        """Takes a token if that leaves the reserve untouched.
 
         Args:
             now: Clock reading, seconds.
-            reserve: Tokens to leave for others.
+            reserve: Tokens to leave in the bucket.
 
         Returns:
-            Whether one was taken.
+            Whether a token was taken.
         """
-        grown = max(0.0, now - self._filled_at) * self._rate
-        self._tokens = min(self._burst, self._tokens + grown)
-        self._filled_at = now
+        refilled = max(0.0, now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + refilled)
+        self._refilled_at = now
         if self._tokens < 1 + reserve:
             return False
         self._tokens -= 1
@@ -117,11 +117,11 @@
 
 
 class CallGuard:
-    """Call budget and circuit breaker of one process.
+    """Rate limit and circuit breaker of one process.
 
-    Pattern of load: an outage or a slow store. Without the breaker each caller holds a
-    thread for the whole time-out and the store meets the sum of all retries when it
-    comes back. While open it lets one probe through after a jittered pause.
+    During an outage or with a slow store, each request would otherwise occupy a thread
+    for the whole timeout, and the recovering store would receive all retries at once.
+    An open breaker admits one probe after a jittered delay.
     """
 
     def __init__(
@@ -129,64 +129,66 @@
         settings: CallRates,
         *,
         random: Random,
-        open_maximum: float = OPEN_SECONDS_MAXIMUM,
+        max_open_seconds: float = MAX_OPEN_SECONDS,
     ) -> None:
-        """Starts closed.
+        """Initializes a closed breaker.
 
         Args:
-            settings: Rates.
+            settings: Rate limits.
             random: Source of jitter.
-            open_maximum: Longest time without a probe, seconds.
+            max_open_seconds: Maximum time without a probe, seconds.
         """
         self._bucket = TokenBucket(
             rate=settings.call_rate, burst=float(settings.call_burst)
         )
         # A burst of one token has no room for a reserve.
-        self._reserve = (settings.call_burst - 1) * OPERATORS_PART
+        self._reserve = (settings.call_burst - 1) * OPERATOR_RESERVE_FRACTION
         self._random = random
-        self._open_maximum = open_maximum
-        self._backoff = Backoff(min(OPEN_SECONDS_MINIMUM, open_maximum), open_maximum)
+        self._max_open_seconds = max_open_seconds
+        self._backoff = Backoff(
+            min(MIN_OPEN_SECONDS, max_open_seconds), max_open_seconds
+        )
         self._failures = 0
         self._open_until = float("-inf")
 
     @property
-    def healthy(self) -> bool:
-        """Whether the last call was answered well; True before the first one."""
+    def is_healthy(self) -> bool:
+        """Whether the last request succeeded; True before the first one."""
         return self._failures == 0
 
     def admit(self, call_class: CallClass, *, now: float) -> Admission:
-        """Decides on a call.
+        """Decides whether a request may be sent.
 
         Args:
-            call_class: Who waits for it.
+            call_class: Its priority class.
             now: Clock reading, seconds.
 
         Returns:
-            ADMITTED, or why not.
+            ADMITTED, or the reason for the rejection.
         """
         if now < self._open_until:
             return Admission.CIRCUIT_OPEN
         reserve = self._reserve if call_class is CallClass.BACKGROUND else 0.0
-        if not self._bucket.take(now=now, reserve=reserve):
+        if not self._bucket.try_take(now=now, reserve=reserve):
             return Admission.OVER_BUDGET
-        if self._failures >= FAILURES_TO_OPEN:
-            # This call is the probe; others wait for its end.
-            self._open_until = now + self._open_maximum
+        if self._failures >= FAILURE_THRESHOLD:
+            # This request is the probe; others are rejected until it completes.
+            self._open_until = now + self._max_open_seconds
         return Admission.ADMITTED
 
-    def succeeded(self) -> None:
-        """Takes note of a good answer: closes the breaker."""
+    def record_success(self) -> None:
+        """Records a successful request and closes the breaker."""
         self._failures = 0
         self._open_until = float("-inf")
 
-    def failed(self, *, now: float) -> None:
-        """Takes note of a call without a good answer.
+    def record_failure(self, *, now: float) -> None:
+        """Records a failed request.
 
         Args:
             now: Clock reading, seconds.
         """
         self._failures += 1
-        if self._failures < FAILURES_TO_OPEN:
+        if self._failures < FAILURE_THRESHOLD:
             return
-        openings = self._failures - FAILURES_TO_OPEN + 1
-        self._open_until = now + self._backoff.delay(openings, self._random)
+        open_count = self._failures - FAILURE_THRESHOLD + 1
+        self._open_until = now + self._backoff.delay(open_count, self._random)
--- a/src/siskinshift/kv/port.py
+++ b/src/siskinshift/kv/port.py
@@ -1,4 +1,4 @@
-"""What the system needs of a key-value service."""
+"""Interface of a key-value store with transactions, leases and watches."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen
 class Entry:
-    """A key with its value.
+    """A key with its value and revision.
 
     Attributes:
         key: The key.
@@ -30,10 +30,10 @@
 
 @frozen
 class Snapshot:
-    """Entries as they were together at one revision.
+    """Entries as of one revision.
 
     Attributes:
-        entries: The entries ordered by key.
+        entries: The entries, ordered by key.
         revision: Revision of the store at the time of the read.
     """
 
@@ -47,7 +47,7 @@
 
     Attributes:
         key: The key.
-        revision: Revision its value must be at; 0 for a key that is absent.
+        revision: Required revision of its value; 0 requires that the key is absent.
     """
 
     key: str
@@ -61,7 +61,7 @@
     Attributes:
         key: The key.
         value: The new value.
-        lease_id: Lease whose end removes the key; 0 for none.
+        lease_id: Lease whose expiry removes the key; 0 for none.
     """
 
     key: str
@@ -85,11 +85,11 @@
 
 @frozen
 class TransactionResult:
-    """What became of a transaction.
+    """Result of a transaction.
 
     Attributes:
-        succeeded: Whether all conditions held and all operations were done.
-        revision: Revision of the store after it; that of the writes when it succeeded.
+        succeeded: Whether all conditions held and all operations were applied.
+        revision: Revision of the store after it; that of the writes if it succeeded.
     """
 
     succeeded: bool
@@ -98,11 +98,11 @@
 
 @frozen
 class Lease:
-    """A lease that was granted.
+    """A granted lease.
 
     Attributes:
         lease_id: Its id.
-        ttl: Life without a keep-alive, seconds.
+        ttl: Time until it expires without a keep-alive, seconds.
     """
 
     lease_id: int
@@ -111,12 +111,12 @@
 
 @frozen
 class WatchBatch:
-    """Changes that a watch saw.
+    """Changes that a watch received.
 
     Attributes:
         entries: Entries written, in order.
         deleted_keys: Keys removed.
-        revision: Revision up to which the watch has seen all.
+        revision: Revision up to which the watch has received all changes.
     """
 
     entries: tuple[Entry, ...]
@@ -128,46 +128,46 @@
     """An open watch."""
 
     def __iter__(self) -> Iterator[WatchBatch]:
-        """Waits for changes; ends after a silence as long as the watch's limit.
+        """Yields batches of changes; ends at the watch's idle timeout.
 
         Raises:
-            StoreCompactedError: The start revision is no longer kept.
-            StoreUnavailableError: The watch broke.
+            StoreCompactedError: The start revision was compacted.
+            StoreUnavailableError: The watch failed.
         """
 
     def close(self) -> None:
-        """Ends the watch, also one that waits in another thread."""
+        """Closes the watch, even while another thread waits on it."""
 
 
 class KeyValueStore(Protocol):
-    """A store with compare-and-swap, leases and watches; every call has a time-out.
+    """A store with compare-and-swap, leases and watches; each request has a timeout.
 
-    Reads raise StoreUnavailableError when no good answer came in time. Writes raise
-    it only when they certainly did not take effect, else StoreOutcomeUnknownError.
+    Reads raise StoreUnavailableError if no valid response arrived in time. Writes raise
+    it only if they certainly did not take effect, else StoreOutcomeUnknownError.
     """
 
     def get(self, key: str) -> Entry | None:
-        """Reads one entry, or None when the key is absent."""
+        """Returns the entry of a key, or None if the key is absent."""
 
     def revision_of(self, key: str) -> int:
-        """Reads the revision of one entry without its value; 0 when it is absent."""
+        """Returns the revision of a key's entry without its value; 0 if absent."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
-        """Reads all entries whose key begins with a prefix, not empty."""
+        """Returns all entries whose keys have a prefix, which must not be empty."""
 
     def transact(
         self, compares: tuple[Compare, ...], operations: tuple[Operation, ...]
     ) -> TransactionResult:
-        """Does all operations in one step if all conditions hold, else none."""
+        """Atomically applies all operations if all conditions hold, else none."""
 
     def grant_lease(self, ttl: float) -> Lease:
-        """Makes a lease that ends `ttl` seconds after its last keep-alive."""
+        """Grants a lease that expires `ttl` seconds after its last keep-alive."""
 
     def keep_alive(self, lease_id: int) -> float:
-        """Prolongs a lease; returns the seconds it has left, 0 when it lapsed."""
+        """Renews a lease; returns its remaining seconds, 0 if it expired."""
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease and removes its keys."""
+        """Revokes a lease and removes its keys."""
 
     def watch(self, prefix: str, start_revision: int) -> Watch:
-        """Opens a watch on all keys with a prefix from a revision on."""
+        """Opens a watch on all keys with a prefix, starting at a revision."""
--- a/src/siskinshift/kv/transport.py
+++ b/src/siskinshift/kv/transport.py
@@ -1,6 +1,6 @@
-"""HTTP towards the key-value service; a new connection for each call.
+"""HTTP transport to the key-value service, with a new connection for each request.
 
-Calls are few, and a kept connection could go silent for good while new ones work.
+Requests are rare, and a persistent connection could stall while new ones work.
 """
 
 from __future__ import annotations
@@ -24,70 +24,71 @@
 
 
 READ_SIZE = 65536
-ANSWER_SIZE_MAXIMUM = 64 << 20
-LINE_SIZE_MAXIMUM = 8 << 20
+MAX_RESPONSE_SIZE = 64 << 20
+MAX_LINE_SIZE = 8 << 20
 
 
 class LineStream(Protocol):
-    """Answer that goes on: one JSON document a line."""
+    """A streamed response with one JSON document per line."""
 
     def __iter__(self) -> Iterator[bytes]:
-        """Waits for lines; ends when the store is silent for too long or closes."""
+        """Yields lines; ends at the idle timeout or when the store closes it."""
 
     def close(self) -> None:
-        """Ends the stream, also one that waits in another thread."""
+        """Closes the stream, even while another thread waits on it."""
 
 
 class EtcdTransport(Protocol):
-    """Carries calls to the store."""
+    """Sends requests to the store."""
 
     def post(self, path: str, body: bytes) -> HttpAnswer:
-        """Makes a call.
+        """Sends a request and returns its response.
 
         Raises:
-            StoreUnavailableError: The call was not sent.
-            StoreOutcomeUnknownError: It was sent; no whole answer came in time.
+            StoreUnavailableError: The request was not sent.
+            StoreOutcomeUnknownError: It was sent, but no complete response arrived in
+                time.
         """
 
     def stream(self, path: str, body: bytes) -> LineStream:
-        """Makes a call whose answer goes on.
+        """Sends a request whose response is streamed.
 
         Raises:
-            StoreUnavailableError: It could not be opened.
+            StoreUnavailableError: The stream could not be opened.
         """
 
 
 class HttpTransport:
-    """Talks to one of the configured endpoints, the next one after a failure."""
+    """Sends requests to one endpoint, and to the next one after a failure."""
 
     def __init__(self, settings: KvSettings) -> None:
         self._settings = settings
-        self._next = 0
+        self._endpoint_index = 0
 
     def post(self, path: str, body: bytes) -> HttpAnswer:
-        """Makes a call; see EtcdTransport."""
-        until = time.monotonic() + self._settings.timeout
+        """Sends a request; see EtcdTransport."""
+        deadline = time.monotonic() + self._settings.timeout
         connection = self._connect()
         try:
             connection.request("POST", path, body=body)
             response = connection.getresponse()
-            return HttpAnswer(response.status, _read_whole(response, until))
+            return HttpAnswer(response.status, _read_body(response, deadline))
         except (OSError, http.client.HTTPException) as error:
-            self._next += 1
-            raise StoreOutcomeUnknownError(f"answer lost: {error}") from error
+            self._endpoint_index += 1
+            raise StoreOutcomeUnknownError(f"response lost: {error}") from error
         finally:
             connection.close()
 
     def stream(self, path: str, body: bytes) -> HttpLineStream:
-        """Makes a call whose answer goes on; see EtcdTransport."""
+        """Sends a request whose response is streamed; see EtcdTransport."""
         connection = self._connect()
-        # The connection may let go of it once the header of the answer is read.
+        # The connection may drop its reference once the response header is read.
         stream_socket = connection.sock
         try:
             connection.request("POST", path, body=body)
             response = connection.getresponse()
         except (OSError, http.client.HTTPException) as error:
-            self._next += 1
+            self._endpoint_index += 1
             connection.close()
             raise StoreUnavailableError(f"watch not opened: {error}") from error
         if response.status != http.HTTPStatus.OK:
@@ -98,21 +99,23 @@
 
     def _connect(self) -> http.client.HTTPConnection:
         if not self._settings.endpoints:
-            raise StoreUnavailableError("no endpoint in the settings")
-        endpoint = self._settings.endpoints[self._next % len(self._settings.endpoints)]
+            raise StoreUnavailableError("no endpoint is configured")
+        endpoint = self._settings.endpoints[
+            self._endpoint_index % len(self._settings.endpoints)
+        ]
         connection = http.client.HTTPConnection(
             endpoint.host, endpoint.port, timeout=self._settings.timeout
         )
         try:
             connection.connect()
         except OSError as error:
-            self._next += 1
-            raise StoreUnavailableError(f"not reached: {error}") from error
+            self._endpoint_index += 1
+            raise StoreUnavailableError(f"unreachable: {error}") from error
         return connection
 
 
 class HttpLineStream:
-    """Lines of a chunked HTTP answer."""
+    """Lines of a chunked HTTP response."""
 
     def __init__(
         self,
@@ -120,46 +123,46 @@
         response: http.client.HTTPResponse,
         stream_socket: socket.socket,
     ) -> None:
-        """Takes over an answer whose header was read.
+        """Takes ownership of a response whose header was read.
 
         Args:
-            connection: Closed with the stream.
-            response: The answer.
-            stream_socket: Its socket; the time-out set on it ends a silent stream.
+            connection: Its connection, which is closed with the stream.
+            response: The response.
+            stream_socket: Its socket, whose timeout ends an idle stream.
         """
         self._connection = connection
         self._response = response
         self._socket = stream_socket
 
     def __iter__(self) -> Iterator[bytes]:
-        """Waits for lines; see LineStream."""
+        """Yields lines; see LineStream."""
         try:
-            while line := self._response.readline(LINE_SIZE_MAXIMUM):
+            while line := self._response.readline(MAX_LINE_SIZE):
                 yield line
         except (OSError, ValueError, http.client.HTTPException):
-            # Silence, a reset or `close`: the reader opens a new watch where this
-            # one ended, so nothing is missed.
+            # A timeout, a reset or `close`: the reader opens a new watch where this
+            # one ended, so no change is missed.
             return
         finally:
             self._connection.close()
 
     def close(self) -> None:
-        """Ends the stream; see LineStream."""
-        # Only woken up here: the library's objects are closed by the thread that
-        # reads them. The other end may have closed the socket already.
+        """Closes the stream; see LineStream."""
+        # This only wakes the reading thread, which closes the HTTP objects. The peer
+        # may have closed the socket already.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
 
-def _read_whole(response: http.client.HTTPResponse, until: float) -> bytes:
-    # A store that sends a byte now and then would never meet a socket time-out.
-    parts: list[bytes] = []
+def _read_body(response: http.client.HTTPResponse, deadline: float) -> bytes:
+    # A store that sends a byte occasionally would never trigger the socket timeout.
+    chunks: list[bytes] = []
     size = 0
-    while part := response.read1(READ_SIZE):
-        parts.append(part)
-        size += len(part)
-        if size > ANSWER_SIZE_MAXIMUM or time.monotonic() > until:
-            raise TimeoutError("answer too slow or too large")
+    while chunk := response.read1(READ_SIZE):
+        chunks.append(chunk)
+        size += len(chunk)
+        if size > MAX_RESPONSE_SIZE or time.monotonic() > deadline:
+            raise TimeoutError("response too slow or too large")
     if response.length:
         raise http.client.IncompleteRead(b"", response.length)
-    return b"".join(parts)
+    return b"".join(chunks)
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the product's key-value port."""
+"""KeyValueStore implementation for the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -50,32 +50,33 @@
     from siskinshift.runtime.http_client import Transfer
 
 
-# The store answers in 4 ms; sixty times that is its slowest seen disturbance, and a
-# longer wait delays the next try on a connection that may have gone silent. After calls
-# that were not answered more is allowed: before a full link packets wait for as long.
+# The store responds in 4 ms, and in sixty times that during its slowest observed
+# disturbance. A longer timeout would delay the retry on a stalled connection. The
+# timeout grows after requests without a response, since packets queue for as long
+# before a saturated link.
 CALL_TIMEOUT_SECONDS = 0.6
 CONNECT_TIMEOUT_SECONDS = 0.3
-# A waiting watch is a call that is answered at the latest after this; the protocol
-# allows 30 s. Keep-alive probes notice a connection that went silent, and a peer that
-# holds a newer configuration says so, so the wait may be long and the calls few.
+# A watch is a long poll that the store answers after this time at the latest; the
+# protocol allows 30 s. Keep-alive probes detect a stalled connection, and peers
+# announce a newer configuration, so long waits with few requests suffice.
 WATCH_WAIT_SECONDS = 28.0
 WATCH_SLACK_SECONDS = 0.6
-# Entries that lapsed while the store was away must be back within two seconds of its
-# return, so the circuit breaker lets a probe through once a second at least.
-BREAKER_SECONDS_MAXIMUM = 1.0
-MILLISECONDS = 1000
-# What a document of the wrong shape raises while it is taken apart.
-MALFORMED = (BadMessageError, KeyError, TypeError, ValueError, binascii.Error)
+# Entries that expired during an outage of the store must be restored within two seconds
+# of its recovery, so the circuit breaker admits a probe at least once a second.
+MAX_BREAKER_OPEN_SECONDS = 1.0
+MILLISECONDS_PER_SECOND = 1000
+# Raised while decoding a document with an unexpected structure.
+MALFORMED_ERRORS = (BadMessageError, KeyError, TypeError, ValueError, binascii.Error)
 
 
 @define(eq=False)
-class _Lane:
-    """A connection for calls that may wait for each other.
+class _Connection:
+    """A connection on which requests are sent one after the other.
 
     Attributes:
-        client: Carries them, one at a time.
-        lock: Held by the call that is on its way.
-        failures: Calls in a row that were sent and not answered.
+        client: Client that sends the requests.
+        lock: Held while a request is in progress.
+        failures: Consecutive requests that were sent without receiving a response.
     """
 
     client: HttpClient
@@ -84,11 +85,11 @@
 
 
 class PlatformStore:
-    """KeyValueStore over the platform's calls, behind a call guard.
+    """KeyValueStore over the platform's HTTP requests, protected by a CallGuard.
 
-    Readings have a connection of their own. Guards against a lease that ends while a
-    long answer flows: a configuration of 300 KB at 30 KB/s held up the renewal of a
-    lease of 6 s for 10 s. Renewals and writes are short, and wait for nothing but each
+    Reads have a separate connection, because a long response would delay the renewal
+    of a lease until it expires: a configuration of 300 KB at 30 KB/s delayed the
+    renewal of a 6 s lease by 10 s. Renewals and writes are short and wait only for each
     other.
     """
 
@@ -100,35 +101,37 @@
         clock: Clock = monotonic_clock,
         random: Random | None = None,
     ) -> None:
-        """Prepares; connects with the first call.
+        """Initializes the store, which connects with the first request.
 
         Args:
-            settings: Endpoint and rates.
+            settings: Endpoint and rate limits.
             stopping: Ends watches when set.
             clock: Clock of the process.
-            random: Source of the breaker's jitter; None for a new one.
+            random: Source of the breaker's jitter; None creates one.
         """
         self._settings = settings
         self._stopping = stopping
         self._clock = clock
         self._guard = CallGuard(
-            settings, random=random or Random(), open_maximum=BREAKER_SECONDS_MAXIMUM
+            settings,
+            random=random or Random(),
+            max_open_seconds=MAX_BREAKER_OPEN_SECONDS,
         )
-        self._admission_lock = threading.Lock()
-        self._calls = _Lane(self._new_client())
-        self._readings = _Lane(self._new_client())
+        self._guard_lock = threading.Lock()
+        self._write_connection = _Connection(self._new_client())
+        self._read_connection = _Connection(self._new_client())
 
     @property
     def transfer(self) -> Transfer:
-        """How far the newest answer to a reading has come."""
-        return self._readings.client.transfer
+        """Progress of the latest response to a read."""
+        return self._read_connection.client.transfer
 
     def get(self, key: str) -> Entry | None:
         """Reads one entry; see KeyValueStore."""
         return self._get(key, {})
 
     def get_stale(self, key: str) -> Entry | None:
-        """Reads one entry as it was some seconds ago; see `list_prefix_stale`.
+        """Reads one entry, possibly some seconds stale; see `list_prefix_stale`.
 
         Args:
             key: Its key.
@@ -146,14 +149,14 @@
     def list_prefix(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix; see KeyValueStore.
 
-        Several pages are no snapshot: the revision is that of the first one.
+        Several pages are not a consistent snapshot; the revision is that of the first.
         """
         return self._list(prefix, {})
 
     def list_prefix_stale(self, prefix: str) -> Snapshot:
-        """Reads all entries with a prefix as they were some seconds ago.
+        """Reads all entries with a prefix, possibly some seconds stale.
 
-        Costs a tenth of `list_prefix` and does not count towards the rate.
+        Costs a tenth of `list_prefix` and does not count towards the rate limit.
 
         Args:
             prefix: The prefix.
@@ -166,60 +169,73 @@
     def transact(
         self, compares: tuple[Compare, ...], operations: tuple[Operation, ...]
     ) -> TransactionResult:
-        """Does all operations in one step; see KeyValueStore."""
+        """Atomically applies all operations; see KeyValueStore."""
         body = {
-            "expect-rev": [{"key": c.key, "revision": c.revision} for c in compares],
-            "set-keys": [_put_body(o) for o in operations if isinstance(o, Put)],
-            "delete-keys": [o.key for o in operations if not isinstance(o, Put)],
+            "expect-rev": [
+                {"key": compare.key, "revision": compare.revision}
+                for compare in compares
+            ],
+            "set-keys": [
+                _encode_put(operation)
+                for operation in operations
+                if isinstance(operation, Put)
+            ],
+            "delete-keys": [
+                operation.key
+                for operation in operations
+                if not isinstance(operation, Put)
+            ],
         }
-        answer = self._write("POST", "/kv-txn", body)
-        if answer.status == HTTPStatus.PRECONDITION_FAILED:
+        response = self._write("POST", "/kv-txn", body)
+        if response.status == HTTPStatus.PRECONDITION_FAILED:
             return TransactionResult(succeeded=False, revision=0)
-        if answer.status == HTTPStatus.NOT_FOUND:
+        if response.status == HTTPStatus.NOT_FOUND:
             raise StoreUnavailableError("no such lease")
-        document = _document_of(answer)
+        document = _decode_document(response)
         try:
             revision = whole_of(document, "revision")
         except BadMessageError as error:
-            # It was done; what it has become is read again.
-            raise StoreOutcomeUnknownError("answer can't be read") from error
+            # The transaction was applied; the caller has to read its result.
+            raise StoreOutcomeUnknownError("malformed response") from error
         return TransactionResult(succeeded=True, revision=revision)
 
     def grant_lease(self, ttl: float) -> Lease:
-        """Makes a lease; see KeyValueStore. An unknown one lapses by itself."""
+        """Grants a lease; see KeyValueStore. It expires if the response is lost."""
         ttl = max(ttl, self._settings.lease_minimum)
-        body = {"ttl-ms": round(ttl * MILLISECONDS)}
-        document = _document_of(self._call("POST", "/kv-lease", body))
+        body = {"ttl-ms": round(ttl * MILLISECONDS_PER_SECOND)}
+        document = _decode_document(self._request("POST", "/kv-lease", body))
         try:
             return Lease(
                 whole_of(document, "lease", minimum=1),
-                whole_of(document, "ttl-ms") / MILLISECONDS,
+                whole_of(document, "ttl-ms") / MILLISECONDS_PER_SECOND,
             )
-        except MALFORMED as error:
-            raise StoreUnavailableError("answer can't be read") from error
+        except MALFORMED_ERRORS as error:
+            raise StoreUnavailableError("malformed response") from error
 
     def keep_alive(self, lease_id: int) -> float:
-        """Prolongs a lease; see KeyValueStore."""
-        answer = self._call("POST", f"/kv-keep/{lease_id}")
-        if answer.status == HTTPStatus.NOT_FOUND:
+        """Renews a lease; see KeyValueStore."""
+        response = self._request("POST", f"/kv-keep/{lease_id}")
+        if response.status == HTTPStatus.NOT_FOUND:
             return 0.0
         try:
-            return whole_of(_document_of(answer), "ttl-ms") / MILLISECONDS
-        except MALFORMED as error:
-            raise StoreUnavailableError("answer can't be read") from error
+            return (
+                whole_of(_decode_document(response), "ttl-ms") / MILLISECONDS_PER_SECOND
+            )
+        except MALFORMED_ERRORS as error:
+            raise StoreUnavailableError("malformed response") from error
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease; see KeyValueStore."""
-        self._call("DELETE", f"/kv-lease-end/{lease_id}")
+        """Revokes a lease; see KeyValueStore."""
+        self._request("DELETE", f"/kv-lease-end/{lease_id}")
 
     def watch(self, prefix: str, start_revision: int) -> PlatformWatch:
         """Opens a watch; see KeyValueStore."""
         return PlatformWatch(self, prefix, start_revision - 1)
 
     def close(self) -> None:
-        """Ends all calls, also those that wait in other threads."""
-        self._calls.client.close()
-        self._readings.client.close()
+        """Aborts all requests, even those that wait in other threads."""
+        self._write_connection.client.close()
+        self._read_connection.client.close()
 
     def _new_client(self) -> HttpClient:
         endpoint = self._settings.endpoint
@@ -228,60 +244,63 @@
         )
 
     def _get(self, key: str, options: dict[str, str]) -> Entry | None:
-        answer = self._read("/kv-key?" + urlencode({"key": key, **options}))
-        if answer.status == HTTPStatus.NOT_FOUND:
+        response = self._read("/kv-key?" + urlencode({"key": key, **options}))
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return _entry_of(_document_of(answer))
+        return _decode_entry(_decode_document(response))
 
     def _list(self, prefix: str, options: dict[str, str]) -> Snapshot:
         entries: list[Entry] = []
         revision = 0
         query = {"prefix": prefix, **options}
         while True:
-            answer = self._read("/kv-range?" + urlencode(query))
-            document = _document_of(answer)
+            response = self._read("/kv-range?" + urlencode(query))
+            document = _decode_document(response)
             try:
-                entries += [_entry_of(item) for item in rows_of(document, "items")]
+                entries += [_decode_entry(item) for item in rows_of(document, "items")]
                 revision = revision or whole_of(document, "as-of")
                 has_more = document["has-more"] is True
-            except MALFORMED as error:
-                raise StoreUnavailableError("answer can't be read") from error
+            except MALFORMED_ERRORS as error:
+                raise StoreUnavailableError("malformed response") from error
             if not has_more or not entries:
                 return Snapshot(tuple(entries), revision)
             query["after"] = entries[-1].key
 
     def _read(self, target: str) -> HttpAnswer:
-        return self._idempotent(self._readings, "GET", target, b"")
+        return self._send_idempotent(self._read_connection, "GET", target, b"")
 
-    def _call(self, method: str, target: str, body: object = None) -> HttpAnswer:
+    def _request(self, method: str, target: str, body: object = None) -> HttpAnswer:
         data = b"" if body is None else encode_json(body)
-        return self._idempotent(self._calls, method, target, data)
+        return self._send_idempotent(self._write_connection, method, target, data)
 
     def _write(self, method: str, target: str, body: object) -> HttpAnswer:
-        return self._carry(self._calls, method, target, encode_json(body))
+        return self._send(self._write_connection, method, target, encode_json(body))
 
-    def _idempotent(
-        self, lane: _Lane, method: str, target: str, body: bytes
+    def _send_idempotent(
+        self, connection: _Connection, method: str, target: str, body: bytes
     ) -> HttpAnswer:
-        # A call that may be repeated has no unknown outcome.
+        # An idempotent request may be repeated, so an unknown outcome counts as
+        # unavailable.
         try:
-            return self._carry(lane, method, target, body)
+            return self._send(connection, method, target, body)
         except StoreOutcomeUnknownError as error:
             raise StoreUnavailableError(str(error)) from error
 
-    def _carry(self, lane: _Lane, method: str, target: str, body: bytes) -> HttpAnswer:
-        with lane.lock:
+    def _send(
+        self, connection: _Connection, method: str, target: str, body: bytes
+    ) -> HttpAnswer:
+        with connection.lock:
             self._admit()
-            timeout = lengthened(CALL_TIMEOUT_SECONDS, failures=lane.failures)
+            timeout = lengthened(CALL_TIMEOUT_SECONDS, failures=connection.failures)
             try:
-                answer = self.exchange(
-                    lane.client, method, target, body, timeout=timeout
+                response = self.exchange(
+                    connection.client, method, target, body, timeout=timeout
                 )
             except StoreOutcomeUnknownError:
-                lane.failures += 1
+                connection.failures += 1
                 raise
-            lane.failures = 0
-            return answer
+            connection.failures = 0
+            return response
 
     def exchange(
         self,
@@ -292,47 +311,47 @@
         *,
         timeout: float,
     ) -> HttpAnswer:
-        """Makes a call that was admitted and tells the guard how it went.
+        """Sends an admitted request and reports its result to the guard.
 
         Args:
-            client: Carries it.
+            client: Client that sends it.
             method: HTTP method.
             target: Path with query.
             body: Body.
-            timeout: Time allowed, seconds.
+            timeout: Timeout, seconds.
 
         Returns:
-            The answer.
+            The response.
 
         Raises:
-            StoreUnavailableError: Nothing was done.
-            StoreOutcomeUnknownError: It may have been done.
+            StoreUnavailableError: The request did not take effect.
+            StoreOutcomeUnknownError: The request may have taken effect.
         """
         try:
-            answer = client.call(method, target, body, timeout=timeout)
+            response = client.call(method, target, body, timeout=timeout)
         except CallNotSentError as error:
-            self._guard.failed(now=self._clock())
-            raise StoreUnavailableError(f"not reached: {error}") from error
+            self._guard.record_failure(now=self._clock())
+            raise StoreUnavailableError(f"unreachable: {error}") from error
         except AnswerLostError as error:
-            self._guard.failed(now=self._clock())
-            raise StoreOutcomeUnknownError(f"answer lost: {error}") from error
-        if answer.status in (
+            self._guard.record_failure(now=self._clock())
+            raise StoreOutcomeUnknownError(f"response lost: {error}") from error
+        if response.status in (
             HTTPStatus.SERVICE_UNAVAILABLE,
             HTTPStatus.TOO_MANY_REQUESTS,
         ):
-            self._guard.failed(now=self._clock())
-            raise StoreUnavailableError(f"refused with status {answer.status}")
-        self._guard.succeeded()
-        return answer
+            self._guard.record_failure(now=self._clock())
+            raise StoreUnavailableError(f"refused with status {response.status}")
+        self._guard.record_success()
+        return response
 
     def _admit(self) -> None:
-        with self._admission_lock:
+        with self._guard_lock:
             admission = self._guard.admit(CallClass.BACKGROUND, now=self._clock())
         if admission is not Admission.ADMITTED:
             raise StoreUnavailableError(admission.value)
 
     def new_watch_client(self) -> HttpClient:
-        """Makes a connection of its own for a call that waits.
+        """Creates a separate client for a long poll.
 
         Returns:
             The client.
@@ -341,50 +360,50 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether watches are to end."""
+        """Whether watches must end."""
         return self._stopping.is_set()
 
 
 class PlatformWatch:
-    """A watch made of calls that wait for the next change."""
+    """A watch implemented by long polling."""
 
-    def __init__(self, store: PlatformStore, prefix: str, after: int) -> None:
-        """Prepares; the first call is made by the first iteration.
+    def __init__(self, store: PlatformStore, prefix: str, revision: int) -> None:
+        """Initializes the watch; the first iteration sends the first request.
 
         Args:
             store: The store.
             prefix: Prefix of the keys.
-            after: Revision up to which all is known.
+            revision: Revision up to which all changes are known.
         """
         self._store = store
         self._prefix = prefix
-        self._after = after
+        self._revision = revision
         self._client = store.new_watch_client()
 
     def __iter__(self) -> Iterator[WatchBatch]:
-        """Waits for changes until the process stops; see Watch."""
+        """Yields changes until the process stops; see Watch."""
         while not self._store.is_stopping:
             query = urlencode(
                 {
                     "prefix": self._prefix,
-                    "after": self._after,
-                    "wait-ms": round(WATCH_WAIT_SECONDS * MILLISECONDS),
+                    "after": self._revision,
+                    "wait-ms": round(WATCH_WAIT_SECONDS * MILLISECONDS_PER_SECOND),
                 }
             )
-            yield self._wait("/kv-watch?" + query)
+            yield self._poll("/kv-watch?" + query)
 
     @property
     def transfer(self) -> Transfer:
-        """How far the newest answer has come."""
+        """Progress of the latest response."""
         return self._client.transfer
 
     def close(self) -> None:
-        """Ends the watch, also one that waits in another thread."""
+        """Closes the watch, even while another thread waits on it."""
         self._client.close()
 
-    def _wait(self, target: str) -> WatchBatch:
+    def _poll(self, target: str) -> WatchBatch:
         try:
-            answer = self._store.exchange(
+            response = self._store.exchange(
                 self._client,
                 "GET",
                 target,
@@ -393,43 +412,45 @@
             )
         except StoreOutcomeUnknownError as error:
             raise StoreUnavailableError(str(error)) from error
-        if answer.status == HTTPStatus.GONE:
-            raise StoreCompactedError("this history is no longer kept")
-        document = _document_of(answer)
+        if response.status == HTTPStatus.GONE:
+            raise StoreCompactedError("the start revision was compacted")
+        document = _decode_document(response)
         try:
             events = rows_of(document, "events")
-            self._after = max(self._after, whole_of(document, "as-of"))
+            self._revision = max(self._revision, whole_of(document, "as-of"))
             return WatchBatch(
-                entries=tuple(_entry_of(e) for e in events if not e.get("removed")),
+                entries=tuple(
+                    _decode_entry(event) for event in events if not event.get("removed")
+                ),
                 deleted_keys=tuple(
-                    text_of(e, "key") for e in events if e.get("removed")
+                    text_of(event, "key") for event in events if event.get("removed")
                 ),
-                revision=self._after,
+                revision=self._revision,
             )
-        except MALFORMED as error:
-            raise StoreUnavailableError("answer can't be read") from error
+        except MALFORMED_ERRORS as error:
+            raise StoreUnavailableError("malformed response") from error
 
 
-def _document_of(answer: HttpAnswer) -> dict[str, Any]:
-    if answer.status != HTTPStatus.OK:
-        raise StoreUnavailableError(f"refused with status {answer.status}")
+def _decode_document(response: HttpAnswer) -> dict[str, Any]:
+    if response.status != HTTPStatus.OK:
+        raise StoreUnavailableError(f"refused with status {response.status}")
     try:
-        return parse_table(answer.body)
+        return parse_table(response.body)
     except BadMessageError as error:
-        raise StoreUnavailableError("answer is no JSON object") from error
+        raise StoreUnavailableError("response is not a JSON object") from error
 
 
-def _entry_of(item: dict[str, Any]) -> Entry:
+def _decode_entry(item: dict[str, Any]) -> Entry:
     try:
         return Entry(
             key=text_of(item, "key"),
             value=base64.b64decode(item["value"], validate=True),
             revision=whole_of(item, "revision"),
         )
-    except MALFORMED as error:
-        raise StoreUnavailableError("entry can't be read") from error
+    except MALFORMED_ERRORS as error:
+        raise StoreUnavailableError("malformed entry") from error
 
 
-def _put_body(put: Put) -> dict[str, Any]:
+def _encode_put(put: Put) -> dict[str, Any]:
     value = base64.b64encode(put.value).decode()
     return {"key": put.key, "value": value, "lease": put.lease_id}
