--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -84,12 +84,12 @@
         from siskinshift.api.server import OperatorsServer
         from siskinshift.api.service import OperatorsService
 
-        store = self._store.shared_with(CallClass.OPERATOR)
+        store = self._store.with_call_class(CallClass.OPERATOR)
         service = OperatorsService(
             settings=self.settings,
             store=ConfigurationStore(store),
             membership=self.membership,
-            store_available=lambda: store.available,
+            store_available=lambda: store.is_available,
         )
         self._operators = OperatorsServer(self.settings.api, service)
         self.owns(self._operators.stop)
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -85,13 +85,13 @@
     def get(self, key: str) -> Entry | None:
         """Reads one entry."""
 
-    def get_cheaply(self, key: str) -> Entry | None:
+    def get_stale(self, key: str) -> Entry | None:
         """Reads one entry, which may be seconds out of date."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix."""
 
-    def list_prefix_cheaply(self, prefix: str) -> Snapshot:
+    def list_prefix_stale(self, prefix: str) -> Snapshot:
         """Reads all entries with a prefix, which may be seconds out of date."""
 
     def transact(
@@ -230,7 +230,7 @@
             self._has_current_read = True
         else:
             if self._has_unresponsive():
-                self._handle_snapshot(self._store.list_prefix_cheaply(self._prefix))
+                self._handle_snapshot(self._store.list_prefix_stale(self._prefix))
             self._check_own_entry()
         self._read_at = now + READ_INTERVAL_SECONDS * self._random.uniform(0.8, 1.2)
 
@@ -241,7 +241,7 @@
         own = self._own()
         key = member_key(own.member_id, own.role)
         # A cheap read may be older than the entry.
-        if self._store.get_cheaply(key) is None and self._store.get(key) is None:
+        if self._store.get_stale(key) is None and self._store.get(key) is None:
             self._log.fact("entry missing", lease=self._lease_id)
             self._lease_id = 0
 
--- a/src/siskinshift/connections/store_availability.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -49,7 +49,7 @@
         if not self._failures:
             self._log.fact(f"{self._subject} lost", error=str(error))
         self._failures += 1
-        return self._retry.pause(self._failures, self._random)
+        return self._retry.delay(self._failures, self._random)
 
     def record_success(self) -> None:
         """Records a successful request."""
