--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -64,7 +64,7 @@
             upstream=settings.agent.upstream_endpoint,
             idle_timeout=settings.agent.flow_idle_timeout,
             clock=monotonic_clock,
-            send_answer=self._send_answer,
+            send_reply=self._send_answer,
             on_flow_end=self._on_flow_end,
         )
         self._connections = UpstreamConnections(settings.agent.upstream_endpoint)
@@ -91,7 +91,7 @@
             spawn=self.spawn,
             clock=monotonic_clock,
             counters=self.counters,
-            send_answer=self._send_answer,
+            send_reply=self._send_answer,
             on_flow_end=self._on_flow_end,
         )
         self._hand_over = HandOver(
--- a/src/siskinshift/agent/datagram_flows.py
+++ b/src/siskinshift/agent/datagram_flows.py
@@ -44,7 +44,7 @@
         upstream: Endpoint,
         idle_timeout: float,
         clock: Clock,
-        send_answer: AnswerSender,
+        send_reply: AnswerSender,
         on_flow_end: FlowEndListener,
     ) -> None:
         """Prepares without any flow.
@@ -53,13 +53,13 @@
             upstream: The upstream's UDP endpoint.
             idle_timeout: Seconds of silence after which a flow is closed.
             clock: Clock of the process.
-            send_answer: Takes an upstream's datagram on its way to the caller.
+            send_reply: Takes an upstream's datagram on its way to the caller.
             on_flow_end: Called with the hash of a flow that was closed.
         """
         self._upstream = (upstream.host, upstream.port)
         self._idle_timeout = idle_timeout
         self._clock = clock
-        self._send_answer = send_answer
+        self._send_answer = send_reply
         self._on_flow_end = on_flow_end
         self._lock = threading.Lock()
         self._flows_by_digest: dict[int, _DatagramFlow] = {}
--- a/src/siskinshift/agent/request_flows.py
+++ b/src/siskinshift/agent/request_flows.py
@@ -84,7 +84,7 @@
         spawn: Spawner,
         clock: Clock,
         counters: Counters,
-        send_answer: AnswerSender,
+        send_reply: AnswerSender,
         on_flow_end: FlowEndListener,
     ) -> None:
         """Prepares without any flow.
@@ -95,7 +95,7 @@
             spawn: Runs a task on a thread.
             clock: Clock of the process.
             counters: Counters of the process.
-            send_answer: Takes a datagram on its way to the caller.
+            send_reply: Takes a datagram on its way to the caller.
             on_flow_end: Called with the hash of a flow that has no connection.
         """
         self._settings = settings
@@ -104,7 +104,7 @@
         self._spawn = spawn
         self._clock = clock
         self._counters = counters
-        self._send_answer = send_answer
+        self._send_answer = send_reply
         self._on_flow_end = on_flow_end
         self._lock = threading.Lock()
         self._flows_by_digest: dict[int, _RequestFlow] = {}
--- a/src/siskinshift/bench/dataplane_paths.py
+++ b/src/siskinshift/bench/dataplane_paths.py
@@ -182,7 +182,7 @@
                 upstream=endpoint,
                 idle_timeout=3600.0,
                 clock=monotonic_clock,
-                send_answer=lambda _: None,
+                send_reply=lambda _: None,
                 on_flow_end=lambda _: None,
             )
             packets = [Packet(caller_of(n), endpoint, b"") for n in range(count)]
