--- a/src/siskinshift/agent/__init__.py
+++ b/src/siskinshift/agent/__init__.py
@@ -1,3 +1,3 @@
-"""The agent process beside an upstream."""
+"""The agent process that runs on the instance of an upstream."""
 
 from __future__ import annotations
--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -1,4 +1,4 @@
-"""The agent: owns the flows of the upstream it stands beside."""
+"""Agent process that owns the flows of the upstream on its instance."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.agent.datagram_flows import DatagramFlows
-from siskinshift.agent.hand_over import HandOver
-from siskinshift.agent.life import AgentLife
+from siskinshift.agent.hand_over import RequestHandover
+from siskinshift.agent.life_cycle import AgentLifeCycle
 from siskinshift.agent.request_flows import RequestFlows
 from siskinshift.agent.request_runner import RequestRunner
 from siskinshift.agent.upstream_connections import UpstreamConnections
@@ -41,7 +41,7 @@
 
 
 class AgentApplication(NodeApplication):
-    """The process beside one upstream."""
+    """Serves the flows and requests of one upstream."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(
@@ -59,12 +59,12 @@
             incarnation=self.incarnation,
             settings=settings.flows,
         )
-        self._life = AgentLife(settings.flows)
+        self._life_cycle = AgentLifeCycle(settings.flows)
         self._flows = DatagramFlows(
             upstream=settings.agent.upstream_endpoint,
             idle_timeout=settings.agent.flow_idle_timeout,
             clock=monotonic_clock,
-            send_reply=self._send_answer,
+            send_reply=self._send_reply,
             on_flow_end=self._on_flow_end,
         )
         self._connections = UpstreamConnections(settings.agent.upstream_endpoint)
@@ -79,11 +79,13 @@
                 now=monotonic_clock(),
             ),
             connections=self._connections,
-            held_maximum=settings.agent.connections,
+            max_requests=settings.agent.connections,
             spawn=self.spawn,
             clock=monotonic_clock,
             telemetry=self.telemetry,
-            is_leaving=lambda: self._life.sends_callers_away(now=monotonic_clock()),
+            is_leaving=lambda: self._life_cycle.redirects_callers(
+                now=monotonic_clock()
+            ),
         )
         self._request_flows = RequestFlows(
             settings=settings.agent,
@@ -91,10 +93,10 @@
             spawn=self.spawn,
             clock=monotonic_clock,
             counters=self.counters,
-            send_reply=self._send_answer,
+            send_reply=self._send_reply,
             on_flow_end=self._on_flow_end,
         )
-        self._hand_over = HandOver(
+        self._handover = RequestHandover(
             member_id=node.node_id,
             upstream_class=settings.agent.upstream_class,
             runner=self._runner,
@@ -114,10 +116,10 @@
         )
 
     def on_start(self) -> None:
-        """Opens the control server and starts to take flows."""
+        """Opens the control server, joins membership and starts to accept flows."""
         self.owns(self._flows.close)
         self.owns(self._connections.close)
-        self.owns(self._hand_over.close)
+        self.owns(self._handover.close)
         self.open_node()
         self.membership.views.subscribe(self._on_view)
         self.membership.start()
@@ -126,40 +128,40 @@
         self.every(TICK_SECONDS, self._tick)
 
     def on_stop(self) -> None:
-        """Says good-bye to callers and ends exchanges with the upstream."""
-        self._request_flows.close(is_silent=self.is_abandoned)
+        """Closes the connections of callers and cancels exchanges with the upstream."""
+        self._request_flows.close(is_abrupt=self.is_abandoned)
         self._runner.cancel_all()
-        self._hand_over.cancel_all()
+        self._handover.cancel_all()
 
     def drain(self) -> None:
-        """Gives buckets away and takes no new flows; owned flows go on."""
-        self._life.drain(now=monotonic_clock())
+        """Moves buckets to peers and refuses new flows; owned flows are kept."""
+        self._life_cycle.drain(now=monotonic_clock())
         self._runner.refuse_peer_requests()
 
     def leave(self, at_once: threading.Event) -> None:
-        """Drains and waits until nothing would be cut, or the time allowed is over.
+        """Drains and waits for open flows and requests, up to the drain timeout.
 
         Args:
             at_once: Ends the wait when set.
         """
         self.drain()
-        until = monotonic_clock() + self.settings.agent.drain_timeout
-        while not self._has_left() and monotonic_clock() < until:
+        deadline = monotonic_clock() + self.settings.agent.drain_timeout
+        while not self._is_drain_complete() and monotonic_clock() < deadline:
             if at_once.wait(TICK_SECONDS):
                 return
 
-    def _has_left(self) -> bool:
-        held = len(self._flows) + len(self._request_flows) + len(self._runner)
-        held += len(self._hand_over)
-        return held == 0 and self._life.is_announced_draining
+    def _is_drain_complete(self) -> bool:
+        open_count = len(self._flows) + len(self._request_flows) + len(self._runner)
+        open_count += len(self._handover)
+        return open_count == 0 and self._life_cycle.is_draining_announced
 
-    def _step_life(self) -> None:
-        step = self._life.step(
-            now=monotonic_clock(), knows_service=self._knows_its_service()
+    def _advance_life_cycle(self) -> None:
+        announced = self._life_cycle.step(
+            now=monotonic_clock(), has_service=self._has_own_service()
         )
-        if step is not None:
-            self.membership.change_own(state=step.state, weight=step.weight)
-        if self._life.sends_callers_away(now=monotonic_clock()):
+        if announced is not None:
+            self.membership.change_own(state=announced.state, weight=announced.weight)
+        if self._life_cycle.redirects_callers(now=monotonic_clock()):
             self._request_flows.drain()
             self._runner.drain()
         elif self._is_drained_by_operators():
@@ -167,13 +169,13 @@
         else:
             self._request_flows.resume()
 
-    def _knows_its_service(self) -> bool:
-        # Guards against an agent that takes flows blind: without configuration and
-        # peers it would make new flows for packets whose owner is another agent.
-        own_class = self.settings.agent.upstream_class
+    def _has_own_service(self) -> bool:
+        # Without configuration and peers the agent would open new flows for packets
+        # that belong to flows of other agents.
+        upstream_class = self.settings.agent.upstream_class
         view = self.membership.views.current
         return any(
-            service.upstream_class == own_class
+            service.upstream_class == upstream_class
             for service in view.services_by_id.values()
         )
 
@@ -186,15 +188,15 @@
         )
 
     def _on_view(self, view: View) -> None:
-        self._hand_over.update(view)
+        self._handover.update(view)
         for service in view.services_by_id.values():
-            # An agent without work counts for the imbalance as well.
+            # Adds idle agents to the imbalance metric.
             if service.upstream_class == self.settings.agent.upstream_class:
                 self.telemetry.slot_used(service.service_id, seconds=0.0)
         self._runner.update(view, upstream_class=self.settings.agent.upstream_class)
         with self._lock:
             actions = self._router.update(view, now=monotonic_clock())
-        self._carry_out(actions)
+        self._execute(actions)
 
     def _on_datagram(self, datagram: bytes, source: tuple[str, int]) -> None:
         try:
@@ -207,31 +209,31 @@
             return
         with self._lock:
             actions = self._router.on_envelope(envelope, now=monotonic_clock())
-        self._carry_out(actions)
+        self._execute(actions)
 
     def _tick(self) -> None:
         with self._lock:
             actions = self._router.tick(now=monotonic_clock())
-        self._carry_out(actions)
+        self._execute(actions)
         self._runner.tick()
         self._flows.close_idle()
-        self._step_life()
+        self._advance_life_cycle()
 
     def _on_notes(self, notes: FlowNotes) -> None:
         with self._lock:
             actions = self._router.on_notes(notes, now=monotonic_clock())
-        self._carry_out(actions)
+        self._execute(actions)
 
-    def _on_flow_end(self, digest: int) -> None:
+    def _on_flow_end(self, flow_hash: int) -> None:
         with self._lock:
-            service_id = self._router.service_of(digest)
-            actions = self._router.flow_ended(digest, now=monotonic_clock())
+            service_id = self._router.service_of(flow_hash)
+            actions = self._router.flow_ended(flow_hash, now=monotonic_clock())
         if service_id:
-            # A process that stops with flows left cuts them.
+            # Flows that remain when the process stops are broken.
             self.telemetry.flow_ended(service_id, broken=self.stopping.is_set())
-        self._carry_out(actions)
+        self._execute(actions)
 
-    def _carry_out(self, actions: list[FlowAction]) -> None:
+    def _execute(self, actions: list[FlowAction]) -> None:
         for action in actions:
             if isinstance(action, DeliverToFlow):
                 self.counters.add("flows.opened", int(action.is_new))
@@ -255,11 +257,11 @@
         else:
             self._flows.deliver(action.flow_hash, action.packet)
 
-    def _send_answer(self, packet: Packet) -> None:
-        answer = Packet(
+    def _send_reply(self, packet: Packet) -> None:
+        reply = Packet(
             caller=packet.service_address,
             service_address=packet.caller,
             payload=packet.payload,
         )
-        datagram = self.codec.pack(answer)
+        datagram = self.codec.pack(reply)
         self.data_socket.send(datagram, self.settings.agent.fabric_return)
--- a/src/siskinshift/agent/connection_commands.py
+++ b/src/siskinshift/agent/connection_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the task of a caller's connection."""
+"""Commands for the task of a caller's connection."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from siskinshift.agent.calls import Headers
+    from siskinshift.agent.http_requests import Headers
 
 
 @frozen
-class TakeDatagram:
-    """Command: a datagram of the caller came.
+class ReceiveDatagram:
+    """Command: process a datagram of the caller.
 
     Attributes:
         payload: The datagram.
@@ -29,23 +29,23 @@
 
 @frozen
 class GoAway:
-    """Command: tell the caller to send its next request on a new connection."""
+    """Command: send GOAWAY, so that the caller opens a new connection."""
 
 
 @frozen
 class CloseConnection:
-    """Command: end at once.
+    """Command: close the connection immediately.
 
     Attributes:
-        is_silent: Whether the caller is left without a word.
+        is_abrupt: Whether no CONNECTION_CLOSE is sent to the caller.
     """
 
-    is_silent: bool
+    is_abrupt: bool
 
 
 @frozen
-class StartAnswer:
-    """Command: send the head of an answer.
+class StartResponse:
+    """Command: send the status and headers of a response.
 
     Attributes:
         stream_id: Stream of the request.
@@ -60,11 +60,11 @@
 
 @frozen
 class SendData:
-    """Command: send a piece of an answer's body.
+    """Command: send a part of a response body.
 
     Attributes:
         stream_id: Stream of the request.
-        chunk: The piece.
+        chunk: Part of the body.
     """
 
     stream_id: int
@@ -72,8 +72,8 @@
 
 
 @frozen
-class EndAnswer:
-    """Command: end a whole answer.
+class EndResponse:
+    """Command: complete a response.
 
     Attributes:
         stream_id: Stream of the request.
@@ -83,8 +83,8 @@
 
 
 @frozen
-class AbortAnswer:
-    """Command: reset the stream of an answer that stays incomplete.
+class AbortResponse:
+    """Command: reset the stream of an incomplete response.
 
     Attributes:
         stream_id: Stream of the request.
@@ -94,13 +94,13 @@
 
 
 @frozen
-class FailAnswer:
-    """Command: give the final answer for a request without the upstream's.
+class FailResponse:
+    """Command: send the final response of a request that the upstream did not answer.
 
     Attributes:
         stream_id: Stream of the request.
-        error: Why.
-        retry_after: Hint in seconds, or None.
+        error: Why there is no response of the upstream.
+        retry_after: Seconds after which the caller may retry, or None.
     """
 
     stream_id: int
@@ -108,39 +108,41 @@
     retry_after: float | None
 
 
-AnswerCommand: TypeAlias = StartAnswer | SendData | EndAnswer | AbortAnswer | FailAnswer
-Command: TypeAlias = TakeDatagram | GoAway | CloseConnection | AnswerCommand
+ResponseCommand: TypeAlias = (
+    StartResponse | SendData | EndResponse | AbortResponse | FailResponse
+)
+Command: TypeAlias = ReceiveDatagram | GoAway | CloseConnection | ResponseCommand
 
 
-class ConnectionReply:
-    """Passes an answer to the connection's task as commands."""
+class ConnectionResponseWriter:
+    """Writes a response by sending commands to the connection's task."""
 
     def __init__(self, stream_id: int, post: Callable[[Command], None]) -> None:
-        """Binds the reply to a stream.
+        """Binds the writer to a stream.
 
         Args:
             stream_id: Stream of the request.
-            post: Takes commands for the connection.
+            post: Queues a command for the connection.
         """
         self._stream_id = stream_id
         self._post = post
 
     def start(self, status: int, headers: Headers) -> None:
-        """Passes the head of the upstream's answer on."""
-        self._post(StartAnswer(self._stream_id, status, headers))
+        """Writes the status and headers of the upstream's response."""
+        self._post(StartResponse(self._stream_id, status, headers))
 
-    def data(self, chunk: bytes) -> None:
-        """Passes a piece of the body on as it came."""
+    def write(self, chunk: bytes) -> None:
+        """Writes a part of the body."""
         self._post(SendData(self._stream_id, chunk))
 
     def end(self) -> None:
-        """Ends a whole answer."""
-        self._post(EndAnswer(self._stream_id))
+        """Completes the response."""
+        self._post(EndResponse(self._stream_id))
 
     def abort(self) -> None:
-        """Ends an answer that stays incomplete."""
-        self._post(AbortAnswer(self._stream_id))
+        """Ends an incomplete response."""
+        self._post(AbortResponse(self._stream_id))
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Gives the final answer for a request that has none of the upstream."""
-        self._post(FailAnswer(self._stream_id, error, retry_after))
+        """Writes the final response of a request that the upstream did not answer."""
+        self._post(FailResponse(self._stream_id, error, retry_after))
--- a/src/siskinshift/agent/credentials.py
+++ b/src/siskinshift/agent/credentials.py
@@ -1,4 +1,4 @@
-"""Finds the group that a request belongs to."""
+"""Authenticates requests and assigns them to groups by bearer token."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 BEARER_PREFIX = "bearer "
 
 
-def group_of(service: Service, authorization: str) -> str:
-    """Maps a bearer token to a group of the service.
+def find_group_id(service: Service, authorization: str) -> str:
+    """Finds the group of a request by its bearer token.
 
     Args:
-        service: The service called.
+        service: Service of the request.
         authorization: Value of the Authorization header, or empty.
 
     Returns:
         The group's id; empty when the service has no groups.
 
     Raises:
-        UnknownCredentialError: No group of the service takes the request.
+        UnknownCredentialError: No group of the service has this credential.
     """
     if not service.groups:
         return ""
@@ -35,7 +35,7 @@
         token = authorization[len(BEARER_PREFIX) :].strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
     else:
-        # A group without a credential takes callers who show none.
+        # A group without a credential accepts callers without a token.
         digest = ""
     for group in service.groups:
         if hmac.compare_digest(group.credential_sha256.lower(), digest):
--- a/src/siskinshift/agent/exceptions.py
+++ b/src/siskinshift/agent/exceptions.py
@@ -7,30 +7,30 @@
 
 
 class UnknownCredentialError(SiskinshiftError):
-    """The request shows no token of any group of the service."""
+    """The request has no valid token of a group of the service."""
 
     kind = ErrorKind.UNAUTHENTICATED
 
 
 class BadRequestError(SiskinshiftError):
-    """The request's head can't be used."""
+    """The header fields of the request are invalid."""
 
     kind = ErrorKind.INVALID_ARGUMENT
 
 
 class UpstreamUnreachableError(SiskinshiftError):
-    """No connection to the upstream; no byte of the request was offered."""
+    """No connection to the upstream; no byte of the request was sent."""
 
     kind = ErrorKind.NO_UPSTREAM
 
 
 class UpstreamFailedError(SiskinshiftError):
-    """The upstream was offered the request and gave no whole answer."""
+    """The request was sent to the upstream, but no complete response was received."""
 
     kind = ErrorKind.UPSTREAM_FAILED
 
 
 class UpstreamTimeoutError(SiskinshiftError):
-    """The upstream was offered the request and gave no answer in time."""
+    """The request was sent to the upstream, which did not respond in time."""
 
     kind = ErrorKind.UPSTREAM_TIMEOUT
--- a/src/siskinshift/agent/answers.py
+++ b/src/siskinshift/agent/failure_responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers for requests that the upstream did not answer."""
+"""Builds HTTP responses for requests that have no response of the upstream."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 def failure_fields(
     error: ErrorKind, *, retry_after: float | None
 ) -> list[tuple[bytes, bytes]]:
-    """Builds the head of a final answer from the table of error kinds.
+    """Builds the header fields of a final response from the table of error kinds.
 
     Args:
-        error: Why the upstream did not answer.
-        retry_after: Seconds after which a new try is welcome, or None.
+        error: Why there is no response of the upstream.
+        retry_after: Seconds after which the caller may retry, or None.
 
     Returns:
-        Fields of HTTP/3.
+        The HTTP/3 header fields.
     """
-    answer = ANSWERS_BY_KIND[error]
+    response = ANSWERS_BY_KIND[error]
     fields = [
-        (":status", str(answer.http_status)),
-        (OUTCOME_HEADER, answer.outcome.value),
+        (":status", str(response.http_status)),
+        (OUTCOME_HEADER, response.outcome.value),
         (ERROR_HEADER, error.value),
         ("content-length", "0"),
     ]
-    if retry_after is not None and answer.retryable:
+    if retry_after is not None and response.retryable:
         fields.append((RETRY_AFTER_HEADER, str(math.ceil(retry_after))))
     return [(name.encode(), value.encode()) for name, value in fields]
--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -1,6 +1,7 @@
-"""Queued requests between agents of one upstream class: reserve a slot, then run.
+"""Hands queued requests over between agents of one upstream class.
 
-Carries messages for the gate's decisions (`siskinshift.load`); decides nothing itself.
+An agent reserves a slot at a peer and then sends the request. This module transports
+the messages; the load gate (`siskinshift.load`) makes all decisions.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 
 from attrs import define
 
-from siskinshift.agent.calls import Call
-from siskinshift.agent.collected_reply import CollectedReply
+from siskinshift.agent.buffered_response import BufferedResponse
+from siskinshift.agent.http_requests import HttpRequest
 from siskinshift.agent.peer_clients import PeerClients
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.control.exceptions import PeerUnreachableError
@@ -56,22 +57,22 @@
 CANCEL_PATH = "/v1/load/cancel"
 USAGE_PATH = "/v1/load/usage"
 
-# A request for a slot waits a second at most by default, and is answered in time.
+# A slot reservation waits for at most 1 s by default, so its reply arrives in time.
 MESSAGE_TIMEOUT_SECONDS = 5.0
-# Beyond the deadline, for the answer's way back.
+# Time for the response to arrive after the deadline of the request.
 RUN_GRACE_SECONDS = 1.0
-# The peer's gate ends such a request by itself; this is the time its tick may be late.
-ANSWER_GRACE_SECONDS = 0.5
+# The gate ends the wait by itself; this covers a late tick.
+GRANT_GRACE_SECONDS = 0.5
 
 
 @define(eq=False)
-class _HandedOver:
+class _PeerRun:
     peer: Endpoint
     reservation_id: str
 
 
-class HandOver:
-    """Sends and serves the messages of hand-over and usage for one agent."""
+class RequestHandover:
+    """Sends and handles the handover and usage messages of one agent."""
 
     def __init__(
         self,
@@ -86,18 +87,18 @@
         counters: Counters,
         random: Random,
     ) -> None:
-        """Registers the handlers.
+        """Registers the message handlers.
 
         Args:
             member_id: The agent's member id.
             upstream_class: Class of the agent's upstream.
-            runner: Holds the requests and the gate.
-            routes: Where message handlers are registered.
+            runner: Tracks the requests and owns the gate.
+            routes: Registry of message handlers.
             key_ring: Keys of the deployment.
             spawn: Runs a task on a thread.
             clock: Clock of the process.
             counters: Counters of the process.
-            random: Picks the recipients of usage sums.
+            random: Selects the recipients of usage sums.
         """
         self._member_id = member_id
         self._upstream_class = upstream_class
@@ -108,12 +109,12 @@
         self._random = random
         self._clients = PeerClients(key_ring=key_ring, timeout=MESSAGE_TIMEOUT_SECONDS)
         self._lock = threading.Lock()
-        self._endpoints_by_peer: dict[str, Endpoint] = {}
+        self._endpoints_by_peer_id: dict[str, Endpoint] = {}
         self._ready_peer_ids: list[str] = []
-        self._answers_by_reservation: dict[str, Future[bool]] = {}
-        self._handed_over_by_id: dict[int, _HandedOver] = {}
-        self._exchanges_by_reservation: dict[str, UpstreamExchange] = {}
-        runner.hand_over = self
+        self._grants_by_reservation_id: dict[str, Future[bool]] = {}
+        self._peer_runs_by_request_id: dict[int, _PeerRun] = {}
+        self._exchanges_by_reservation_id: dict[str, UpstreamExchange] = {}
+        runner.handover = self
         routes.handles(RESERVE_PATH, ReserveSlot)(self._on_reserve)
         routes.handles(RELEASE_PATH, ReleaseSlot)(self._on_release)
         routes.handles(RUN_PATH, RunRequest)(self._on_run)
@@ -121,10 +122,10 @@
         routes.handles(USAGE_PATH, UsageSums)(self._on_usage)
 
     def __len__(self) -> int:
-        return len(self._exchanges_by_reservation)
+        return len(self._exchanges_by_reservation_id)
 
     def update(self, view: View) -> None:
-        """Takes a new view.
+        """Applies a new view.
 
         Args:
             view: The view.
@@ -135,7 +136,7 @@
             if agent.member_id != self._member_id
         ]
         with self._lock:
-            self._endpoints_by_peer = {a.member_id: a.control for a in agents}
+            self._endpoints_by_peer_id = {a.member_id: a.control for a in agents}
             self._ready_peer_ids = [
                 a.member_id for a in agents if a.state is MemberState.READY
             ]
@@ -145,77 +146,77 @@
         self._clients.close()
 
     def cancel_all(self) -> None:
-        """Ends the exchanges of peers; for a process that stops at once."""
-        for exchange in tuple(self._exchanges_by_reservation.values()):
+        """Cancels the exchanges of peers; used when the process stops immediately."""
+        for exchange in tuple(self._exchanges_by_reservation_id.values()):
             exchange.cancel()
 
-    # The side that holds the request.
+    # Sending side: this agent holds the request.
 
     def reserve(self, action: ReserveAtPeer, request: Request) -> None:
-        """Asks a peer for a slot, on a task of its own.
+        """Requests a slot at a peer in a separate task.
 
         Args:
-            action: The gate's decision.
+            action: The gate's action.
             request: The request.
         """
         self._spawn(self._reserve, action, request)
 
     def release(self, action: ReleaseAtPeer) -> None:
-        """Gives a reservation back, on a task of its own.
+        """Releases a reservation in a separate task.
 
         Args:
-            action: The gate's decision.
+            action: The gate's action.
         """
         message = ReleaseSlot(reservation_id=action.reservation_id)
         peer = self._endpoint(action.peer_id)
         if peer is not None:
-            self._spawn(self._tell, peer, RELEASE_PATH, message)
+            self._spawn(self._notify, peer, RELEASE_PATH, message)
 
-    def run(self, action: RunAtPeer, call: Call) -> None:
-        """Offers a request to the peer that holds a slot, on a task of its own.
+    def run(self, action: RunAtPeer, http_request: HttpRequest) -> None:
+        """Sends a request to the peer that reserved a slot, in a separate task.
 
         Args:
-            action: The gate's decision.
-            call: The request.
+            action: The gate's action.
+            http_request: The request.
         """
         peer = self._endpoint(action.peer_id)
         if peer is None:
-            self._runner.ended(action.request_id, RunResult.NOT_OFFERED)
+            self._runner.handle_peer_result(action.request_id, RunResult.NOT_OFFERED)
             return
-        self._handed_over_by_id[action.request_id] = _HandedOver(
+        self._peer_runs_by_request_id[action.request_id] = _PeerRun(
             peer, action.reservation_id
         )
-        self._spawn(self._run, peer, action, call)
+        self._spawn(self._run, peer, action, http_request)
 
     def cancel(self, request_id: int) -> bool:
-        """Passes a caller's cancel on.
+        """Forwards a caller's cancel to the peer that runs the request.
 
         Args:
-            request_id: The request.
+            request_id: Id of the request.
 
         Returns:
-            Whether a peer has the request.
+            Whether the request is at a peer.
         """
-        handed_over = self._handed_over_by_id.get(request_id)
-        if handed_over is None:
+        peer_run = self._peer_runs_by_request_id.get(request_id)
+        if peer_run is None:
             return False
-        message = CancelRun(reservation_id=handed_over.reservation_id)
-        self._spawn(self._tell, handed_over.peer, CANCEL_PATH, message)
+        message = CancelRun(reservation_id=peer_run.reservation_id)
+        self._spawn(self._notify, peer_run.peer, CANCEL_PATH, message)
         return True
 
-    def has(self, request_id: int) -> bool:
-        """Says whether a peer has a request.
+    def is_at_peer(self, request_id: int) -> bool:
+        """Returns whether a request was handed over and has not ended.
 
         Args:
-            request_id: The request.
+            request_id: Id of the request.
 
         Returns:
-            True while it may run there.
+            True while it may run at a peer.
         """
-        return request_id in self._handed_over_by_id
+        return request_id in self._peer_runs_by_request_id
 
-    def spread(self, sums: UsageSums) -> None:
-        """Sends usage sums to some random peers, on tasks of their own.
+    def send_usage(self, sums: UsageSums) -> None:
+        """Sends usage sums to a few random peers, each in a separate task.
 
         Args:
             sums: The message.
@@ -223,13 +224,13 @@
         with self._lock:
             count = min(USAGE_RECIPIENT_COUNT, len(self._ready_peer_ids))
             peer_ids = self._random.sample(self._ready_peer_ids, count)
-            peers = [self._endpoints_by_peer[peer_id] for peer_id in peer_ids]
+            peers = [self._endpoints_by_peer_id[peer_id] for peer_id in peer_ids]
         for peer in peers:
-            self._spawn(self._tell, peer, USAGE_PATH, sums)
+            self._spawn(self._notify, peer, USAGE_PATH, sums)
 
     def _reserve(self, action: ReserveAtPeer, request: Request) -> None:
-        granted = self._ask(action, request)
-        self._runner.decide(
+        granted = self._request_slot(action, request)
+        self._runner.call_gate(
             lambda gate, now: gate.handle_reservation_reply(
                 action.request_id,
                 peer_id=action.peer_id,
@@ -239,7 +240,7 @@
             )
         )
 
-    def _ask(self, action: ReserveAtPeer, request: Request) -> bool:
+    def _request_slot(self, action: ReserveAtPeer, request: Request) -> bool:
         peer = self._endpoint(action.peer_id)
         if peer is None:
             return False
@@ -259,34 +260,40 @@
             return False
         return reply.granted
 
-    def _run(self, peer: Endpoint, action: RunAtPeer, call: Call) -> None:
+    def _run(
+        self, peer: Endpoint, action: RunAtPeer, http_request: HttpRequest
+    ) -> None:
         try:
-            reply = self._offer(peer, action, call)
+            reply = self._send_run(peer, action, http_request)
         except (PeerUnreachableError, BadMessageError) as error:
-            # Refused by the peer's system: the process is gone and nothing was sent.
-            # Any other failure may have come after the peer's upstream ran it.
+            # A refused connection means that nothing was sent. After any other failure
+            # the peer's upstream may have run the request.
             refused = isinstance(error.__cause__, ConnectionRefusedError)
             result = RunResult.NOT_OFFERED if refused else RunResult.LOST
             self._counters.add(f"hand_over.{result.value}")
-            self._end(action.request_id, result)
+            self._finish(action.request_id, result)
             return
         if reply.is_stream:
-            self._runner.pinned_paths.add(call.path)
+            self._runner.pinned_paths.add(http_request.path)
         if reply.outcome is OutcomeKind.ANSWERED:
-            self._answer(action.request_id, call, reply)
+            self._relay_response(action.request_id, http_request, reply)
         elif reply.outcome is OutcomeKind.NOT_RUN:
-            self._end(action.request_id, RunResult.NOT_OFFERED)
+            self._finish(action.request_id, RunResult.NOT_OFFERED)
         else:
-            self._end(action.request_id, RunResult.LOST)
+            self._finish(action.request_id, RunResult.LOST)
 
-    def _offer(self, peer: Endpoint, action: RunAtPeer, call: Call) -> RunRequestReply:
-        deadline_in = call.request.deadline - self._clock()
+    def _send_run(
+        self, peer: Endpoint, action: RunAtPeer, http_request: HttpRequest
+    ) -> RunRequestReply:
+        deadline_in = http_request.request.deadline - self._clock()
         message = RunRequest(
             reservation_id=action.reservation_id,
-            method=call.method,
-            path=call.path,
-            headers=tuple(HttpHeader(name, value) for name, value in call.headers),
-            body=call.body,
+            method=http_request.method,
+            path=http_request.path,
+            headers=tuple(
+                HttpHeader(name, value) for name, value in http_request.headers
+            ),
+            body=http_request.body,
             deadline_in=deadline_in,
         )
         return self._clients.call_once(
@@ -297,84 +304,91 @@
             timeout=max(0.0, deadline_in) + RUN_GRACE_SECONDS,
         )
 
-    def _answer(self, request_id: int, call: Call, reply: RunRequestReply) -> None:
+    def _relay_response(
+        self, request_id: int, http_request: HttpRequest, reply: RunRequestReply
+    ) -> None:
         self._counters.add("hand_over.answered")
-        call.reply.start(reply.status, tuple((h.name, h.value) for h in reply.headers))
+        http_request.writer.start(
+            reply.status, tuple((h.name, h.value) for h in reply.headers)
+        )
         if reply.body:
-            call.reply.data(reply.body)
-        call.reply.end()
-        self._end(request_id, RunResult.ANSWERED)
+            http_request.writer.write(reply.body)
+        http_request.writer.end()
+        self._finish(request_id, RunResult.ANSWERED)
 
-    def _end(self, request_id: int, result: RunResult) -> None:
-        self._handed_over_by_id.pop(request_id, None)
-        self._runner.ended(request_id, result)
+    def _finish(self, request_id: int, result: RunResult) -> None:
+        self._peer_runs_by_request_id.pop(request_id, None)
+        self._runner.handle_peer_result(request_id, result)
 
     def _endpoint(self, peer_id: str) -> Endpoint | None:
         with self._lock:
-            return self._endpoints_by_peer.get(peer_id)
+            return self._endpoints_by_peer_id.get(peer_id)
 
-    def _tell(self, peer: Endpoint, path: str, message: object) -> None:
-        # Lost ones do no harm: reservations time out, sums are sent again.
+    def _notify(self, peer: Endpoint, path: str, message: object) -> None:
+        # Losing such a message is harmless: reservations time out, and usage sums are
+        # sent periodically.
         try:
             self._clients.call(peer, path, message, LoadReceipt)
         except (PeerUnreachableError, BadMessageError):
             self._counters.add("hand_over.unreachable")
 
-    # The side that has the slot.
+    # Receiving side: this agent has the slot.
 
-    def answer_reservation(self, action: AnswerReservation) -> None:
-        """Takes the gate's answer to a peer's request.
+    def reply_to_reservation(self, action: AnswerReservation) -> None:
+        """Completes the pending reply to a reservation of a peer.
 
         Args:
-            action: The gate's decision.
+            action: The gate's action.
         """
-        answer = self._answers_by_reservation.get(action.reservation_id)
-        if answer is not None and not answer.done():
-            answer.set_result(action.granted)
+        grant = self._grants_by_reservation_id.get(action.reservation_id)
+        if grant is not None and not grant.done():
+            grant.set_result(action.granted)
 
     def _on_reserve(self, message: ReserveSlot) -> ReserveSlotReply:
         reservation_id = message.reservation_id
-        answer: Future[bool] = Future()
+        grant: Future[bool] = Future()
         with self._lock:
-            if reservation_id in self._answers_by_reservation:
+            if reservation_id in self._grants_by_reservation_id:
                 return ReserveSlotReply(granted=False)
-            self._answers_by_reservation[reservation_id] = answer
+            self._grants_by_reservation_id[reservation_id] = grant
         try:
-            self._runner.decide(lambda gate, now: gate.reserve(message, now=now))
-            granted = answer.result(message.wait + ANSWER_GRACE_SECONDS)
+            self._runner.call_gate(lambda gate, now: gate.reserve(message, now=now))
+            granted = grant.result(message.wait + GRANT_GRACE_SECONDS)
         except TimeoutError:
             granted = False
-            self._runner.decide(lambda gate, now: gate.release(reservation_id, now=now))
+            self._runner.call_gate(
+                lambda gate, now: gate.release(reservation_id, now=now)
+            )
         finally:
-            self._answers_by_reservation.pop(reservation_id, None)
+            self._grants_by_reservation_id.pop(reservation_id, None)
         return ReserveSlotReply(granted=granted)
 
     def _on_release(self, message: ReleaseSlot) -> LoadReceipt:
-        self._runner.decide(
+        self._runner.call_gate(
             lambda gate, now: gate.release(message.reservation_id, now=now)
         )
         return LoadReceipt()
 
     def _on_run(self, message: RunRequest) -> RunRequestReply:
-        if not self._runner.take_reserved(message.reservation_id):
+        if not self._runner.start_reserved(message.reservation_id):
             return RunRequestReply(outcome=OutcomeKind.NOT_RUN)
-        reply = CollectedReply()
-        call = _peer_request_call(message, reply, self._clock())
-        exchange = self._runner.exchange_for(call, reply.refuse_stream)
-        reply.on_too_large = exchange.cancel
-        self._exchanges_by_reservation[message.reservation_id] = exchange
+        response = BufferedResponse()
+        http_request = _to_http_request(message, response, self._clock())
+        exchange = self._runner.create_exchange(http_request, response.reject_stream)
+        response.on_too_large = exchange.cancel
+        self._exchanges_by_reservation_id[message.reservation_id] = exchange
         result = RunResult.LOST
         since = self._clock()
         try:
             result = exchange.run().result
         finally:
-            self._runner.slot_used(call, since=since)
-            self._exchanges_by_reservation.pop(message.reservation_id, None)
-            self._runner.peer_request_ended(message.reservation_id, result)
-        return _run_reply(result, reply)
+            self._runner.record_slot_use(http_request, since=since)
+            self._exchanges_by_reservation_id.pop(message.reservation_id, None)
+            self._runner.finish_peer_request(message.reservation_id, result)
+        return _to_run_reply(result, response)
 
     def _on_cancel(self, message: CancelRun) -> LoadReceipt:
-        exchange = self._exchanges_by_reservation.get(message.reservation_id)
+        exchange = self._exchanges_by_reservation_id.get(message.reservation_id)
         if exchange is not None and self._runner.cancel_reserved(
             message.reservation_id
         ):
@@ -382,40 +396,44 @@
         return LoadReceipt()
 
     def _on_usage(self, sums: UsageSums) -> LoadReceipt:
-        self._runner.learn(sums)
+        self._runner.merge_usage(sums)
         return LoadReceipt()
 
 
-def _peer_request_call(message: RunRequest, reply: CollectedReply, now: float) -> Call:
+def _to_http_request(
+    message: RunRequest, response: BufferedResponse, now: float
+) -> HttpRequest:
     request = Request(
         request_id=0,
         service_id="",
         group_id="",
         caller="",
         key="",
-        # Also for one that may be repeated: the holder decides about retries.
+        # Also for repeatable requests: only the agent that holds the request retries.
         repeatable=False,
         arrived_at=now,
         deadline=now + message.deadline_in,
     )
-    return Call(
+    return HttpRequest(
         request=request,
         method=message.method,
         path=message.path,
         headers=tuple((header.name, header.value) for header in message.headers),
         body=message.body,
-        reply=reply,
+        writer=response,
     )
 
 
-def _run_reply(result: RunResult, reply: CollectedReply) -> RunRequestReply:
+def _to_run_reply(result: RunResult, response: BufferedResponse) -> RunRequestReply:
     if result is RunResult.NOT_OFFERED:
         return RunRequestReply(outcome=OutcomeKind.NOT_RUN)
-    if not reply.is_whole:
-        return RunRequestReply(outcome=OutcomeKind.UNKNOWN, is_stream=reply.is_stream)
+    if not response.is_complete:
+        return RunRequestReply(
+            outcome=OutcomeKind.UNKNOWN, is_stream=response.is_stream
+        )
     return RunRequestReply(
         outcome=OutcomeKind.ANSWERED,
-        status=reply.status,
-        headers=tuple(HttpHeader(name, value) for name, value in reply.headers),
-        body=bytes(reply.body),
+        status=response.status,
+        headers=tuple(HttpHeader(name, value) for name, value in response.headers),
+        body=bytes(response.body),
     )
--- a/src/siskinshift/agent/calls.py
+++ b/src/siskinshift/agent/http_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request with its HTTP parts, and where its answer goes."""
+"""An HTTP request of a caller and the writer of its response."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 EVENT_STREAM = "text/event-stream"
 
 
-class Reply(Protocol):
-    """Takes the answer to one request; every method returns at once."""
+class ResponseWriter(Protocol):
+    """Writes the response to one request; no method blocks."""
 
     def start(self, status: int, headers: Headers) -> None:
-        """Passes the head of the upstream's answer on."""
+        """Writes the status and headers of the upstream's response."""
 
-    def data(self, chunk: bytes) -> None:
-        """Passes a piece of the body on as it came."""
+    def write(self, chunk: bytes) -> None:
+        """Writes a part of the body."""
 
     def end(self) -> None:
-        """Ends a whole answer."""
+        """Completes the response."""
 
     def abort(self) -> None:
-        """Ends an answer that stays incomplete, so that nobody takes it as whole."""
+        """Ends an incomplete response so that the caller can detect it."""
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Gives the final answer for a request that has none of the upstream."""
+        """Writes the final response of a request that the upstream did not answer."""
 
 
 @frozen(eq=False)
-class Call:
-    """A request that arrived whole.
+class HttpRequest:
+    """A request that was received in full.
 
     Attributes:
-        request: What admission sees of it.
+        request: Request parameters used for admission.
         method: HTTP method.
-        path: Path with the query.
+        path: Path including the query.
         headers: End-to-end headers for the upstream.
-        body: The whole body.
-        reply: Where the answer goes.
+        body: Complete body.
+        writer: Writes the response.
     """
 
     request: Request
@@ -57,4 +57,4 @@
     path: str
     headers: Headers
     body: bytes
-    reply: Reply
+    writer: ResponseWriter
--- a/src/siskinshift/agent/peer_clients.py
+++ b/src/siskinshift/agent/peer_clients.py
@@ -1,4 +1,4 @@
-"""Control connections to peers, as many as messages are under way at once."""
+"""Pools control connections to peers, one for each message in flight."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 ReplyT = TypeVar("ReplyT")
 
-KEPT_FOR_A_PEER = 4
+MAX_IDLE_CLIENTS_PER_PEER = 4
 
 
 class PeerClients:
-    """Lends control clients.
+    """Pool of control clients, keyed by the peer's endpoint.
 
-    A control client carries one message at a time, and a request for a slot may wait
-    for a second: without several clients a peer's messages would wait for each other.
+    A control client carries one message at a time, and a slot reservation may wait for
+    1 s. With a single client the messages to a peer would block each other.
     """
 
     def __init__(self, *, key_ring: KeyRing, timeout: float) -> None:
-        """Prepares without any connection.
+        """Initializes an empty pool.
 
         Args:
             key_ring: Keys of the deployment.
-            timeout: Seconds allowed for each step on the socket.
+            timeout: Timeout of each socket operation, seconds.
         """
         self._key_ring = key_ring
         self._timeout = timeout
@@ -41,7 +41,7 @@
     def call(
         self, endpoint: Endpoint, path: str, message: object, reply_type: type[ReplyT]
     ) -> ReplyT:
-        """Sends a message that may be sent twice; see `ControlClient.call`.
+        """Sends a message that may be delivered twice; see `ControlClient.call`.
 
         Args:
             endpoint: The peer's control endpoint.
@@ -53,14 +53,14 @@
             The reply.
 
         Raises:
-            PeerUnreachableError: No good answer came in time.
-            BadMessageError: The answer can't be read.
+            PeerUnreachableError: No valid reply was received in time.
+            BadMessageError: The reply can't be decoded.
         """
-        client = self._take(endpoint)
+        client = self._claim(endpoint)
         try:
             return client.call(path, message, reply_type)
         finally:
-            self._keep(endpoint, client)
+            self._release(endpoint, client)
 
     def call_once(
         self,
@@ -71,25 +71,25 @@
         *,
         timeout: float,
     ) -> ReplyT:
-        """Sends a message on a connection of its own.
+        """Sends a message at most once, on a new connection.
 
-        Guards against the second try that a client makes when a kept connection
-        broke: on a new connection there is none, so the message leaves once.
+        A client sends a message again when an idle connection turns out to be broken.
+        On a new connection it does not.
 
         Args:
             endpoint: The peer's control endpoint.
             path: Path of the handler.
             message: An instance of a generated class.
             reply_type: Generated class of the reply.
-            timeout: Seconds allowed for each step on the socket.
+            timeout: Timeout of each socket operation, seconds.
 
         Returns:
             The reply.
 
         Raises:
-            PeerUnreachableError: No good answer came in time; the cause is a
+            PeerUnreachableError: No valid reply was received in time; the cause is a
                 ConnectionRefusedError when nothing was sent.
-            BadMessageError: The answer can't be read.
+            BadMessageError: The reply can't be decoded.
         """
         client = ControlClient(
             endpoint=endpoint, key_ring=self._key_ring, timeout=timeout
@@ -100,14 +100,14 @@
             client.close()
 
     def close(self) -> None:
-        """Closes all kept connections."""
+        """Closes all idle connections."""
         with self._lock:
             idle, self._idle_by_endpoint = self._idle_by_endpoint, {}
         for clients in idle.values():
             for client in clients:
                 client.close()
 
-    def _take(self, endpoint: Endpoint) -> ControlClient:
+    def _claim(self, endpoint: Endpoint) -> ControlClient:
         with self._lock:
             idle = self._idle_by_endpoint.get(endpoint)
             if idle:
@@ -116,10 +116,10 @@
             endpoint=endpoint, key_ring=self._key_ring, timeout=self._timeout
         )
 
-    def _keep(self, endpoint: Endpoint, client: ControlClient) -> None:
+    def _release(self, endpoint: Endpoint, client: ControlClient) -> None:
         with self._lock:
             idle = self._idle_by_endpoint.setdefault(endpoint, [])
-            if len(idle) < KEPT_FOR_A_PEER:
+            if len(idle) < MAX_IDLE_CLIENTS_PER_PEER:
                 idle.append(client)
                 return
         client.close()
--- a/src/siskinshift/agent/pinned_paths.py
+++ b/src/siskinshift/agent/pinned_paths.py
@@ -1,9 +1,8 @@
-"""Paths whose requests stay at their own agent.
+"""Decides which requests must not be handed over to peers.
 
-A stream of events is passed on as it comes, and a large body would cross the network
-once more; neither is handed over to a peer. Callers may say what they expect
-(`Accept`); for those that don't, the path of an answer that turned out to be a stream
-is remembered.
+Event streams are relayed without buffering, and a large body would cross the network
+once more. Callers may announce a stream in the `Accept` header. For those that don't,
+the paths of earlier event streams are cached.
 """
 
 from __future__ import annotations
@@ -13,37 +12,37 @@
 from typing import TYPE_CHECKING
 from urllib.parse import urlsplit
 
-from siskinshift.agent.calls import EVENT_STREAM
+from siskinshift.agent.http_requests import EVENT_STREAM
 
 
 if TYPE_CHECKING:
-    from siskinshift.agent.calls import Headers
+    from siskinshift.agent.http_requests import Headers
 
 
-PATHS_REMEMBERED = 256
-HANDED_OVER_BODY_MAXIMUM = 256 << 10
+MAX_PATHS = 256
+MAX_HANDOVER_BODY_SIZE = 256 << 10
 
 
 class PinnedPaths:
-    """Remembers a bounded number of paths; safe to share between threads."""
+    """Caches a bounded number of paths of event streams; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._paths: OrderedDict[str, None] = OrderedDict()
 
     def add(self, path: str) -> None:
-        """Remembers a path whose answer was a stream.
+        """Adds a path whose response was an event stream.
 
         Args:
             path: Path, with or without a query.
         """
         with self._lock:
             self._paths[urlsplit(path).path] = None
-            if len(self._paths) > PATHS_REMEMBERED:
+            if len(self._paths) > MAX_PATHS:
                 self._paths.popitem(last=False)
 
     def is_pinned(self, path: str, headers: Headers, *, body_size: int) -> bool:
-        """Says whether a request must stay at its own agent.
+        """Returns whether a request must run at the agent that received it.
 
         Args:
             path: Path, with or without a query.
@@ -51,9 +50,9 @@
             body_size: Size of the body, bytes.
 
         Returns:
-            True when it must.
+            True for event streams and large bodies.
         """
-        if body_size > HANDED_OVER_BODY_MAXIMUM:
+        if body_size > MAX_HANDOVER_BODY_SIZE:
             return True
         if any(name == "accept" and EVENT_STREAM in value for name, value in headers):
             return True
--- a/src/siskinshift/agent/request_connection.py
+++ b/src/siskinshift/agent/request_connection.py
@@ -1,6 +1,7 @@
-"""One caller's HTTP/3 connection: one task, fed with datagrams, written straight down.
+"""Terminates one HTTP/3 connection of a caller in a task of its own.
 
-Source: RFC 9000 (QUIC) and RFC 9114 (HTTP/3), both through aioquic without its I/O.
+Implements RFC 9000 (QUIC) and RFC 9114 (HTTP/3) on aioquic without its I/O: the task
+receives datagrams and responses as commands from a queue.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 from attrs import define
 from attrs import field
 
-from siskinshift.agent.answers import failure_fields
-from siskinshift.agent.calls import Call
-from siskinshift.agent.connection_commands import AbortAnswer
+from siskinshift.agent.connection_commands import AbortResponse
 from siskinshift.agent.connection_commands import CloseConnection
 from siskinshift.agent.connection_commands import Command
-from siskinshift.agent.connection_commands import ConnectionReply
-from siskinshift.agent.connection_commands import EndAnswer
-from siskinshift.agent.connection_commands import FailAnswer
+from siskinshift.agent.connection_commands import ConnectionResponseWriter
+from siskinshift.agent.connection_commands import EndResponse
+from siskinshift.agent.connection_commands import FailResponse
 from siskinshift.agent.connection_commands import GoAway
+from siskinshift.agent.connection_commands import ReceiveDatagram
 from siskinshift.agent.connection_commands import SendData
-from siskinshift.agent.connection_commands import StartAnswer
-from siskinshift.agent.connection_commands import TakeDatagram
-from siskinshift.agent.credentials import group_of
+from siskinshift.agent.connection_commands import StartResponse
+from siskinshift.agent.credentials import find_group_id
+from siskinshift.agent.failure_responses import failure_fields
+from siskinshift.agent.http_requests import HttpRequest
 from siskinshift.agent.request_heads import RequestHead
 from siskinshift.agent.request_heads import read_head
 from siskinshift.core.errors import ErrorKind
@@ -61,14 +62,14 @@
 
 
 # RFC 9114, 5.2: a first GOAWAY with the largest id stops new requests without refusing
-# those on their way; the second one, a round trip later, names the last one taken.
+# those in flight. A second one, a round trip later, carries the last accepted id.
 GOAWAY_FIRST_STREAM_ID = (1 << 62) - 4
-GOAWAY_NOTICE_SECONDS = 1.0
-# A caller that did not hear either still gets its own answer, "not run", until then.
+GOAWAY_FINAL_DELAY_SECONDS = 1.0
+# A caller that received neither GOAWAY gets a "not run" response until then.
 GOAWAY_GRACE_SECONDS = 2.0
-BATCH_MAXIMUM = 64
+MAX_BATCH_SIZE = 64
 
-request_numbers = itertools.count(1)
+request_ids = itertools.count(1)
 
 
 @define(eq=False)
@@ -77,11 +78,11 @@
     head: RequestHead | None = None
     body: bytearray = field(factory=bytearray)
     request_id: int = 0
-    is_answered: bool = False
+    is_completed: bool = False
 
 
 class RequestConnection:
-    """Ends one HTTP/3 connection and hands its requests to the runner."""
+    """Terminates one HTTP/3 connection and submits its requests to the runner."""
 
     def __init__(
         self,
@@ -97,19 +98,19 @@
         send: Callable[[bytes], None],
         on_connection_id: Callable[[bytes, bool], None],
     ) -> None:
-        """Prepares the connection; `run` is its task.
+        """Initializes the connection; `run` is its task.
 
         Args:
-            configuration: TLS and limits of the server side.
+            configuration: TLS settings and limits of the server.
             original_connection_id: Connection id of the caller's first packet.
             caller: The caller's endpoint.
             service: The service that the flow belongs to.
             settings: Settings of the agent.
-            runner: Takes requests.
+            runner: Receives the requests.
             clock: Clock of the process.
             counters: Counters of the process.
-            send: Takes a datagram for the caller.
-            on_connection_id: Called with each own connection id and whether it is
+            send: Sends a datagram to the caller.
+            on_connection_id: Called with each local connection id and whether it is
                 issued (True) or retired (False).
         """
         self.service = service
@@ -129,18 +130,18 @@
         self._inbox: queue.SimpleQueue[Command] = queue.SimpleQueue()
         self._streams_by_id: dict[int, _Stream] = {}
         self._next_stream_id = 0
-        self._goaway_at: float | None = None
+        self._goaway_started_at: float | None = None
         self._goaway_stream_id = GOAWAY_FIRST_STREAM_ID
         self._is_closing = False
         self._is_terminated = False
 
     @property
     def connection_id(self) -> bytes:
-        """The first connection id that this side chose."""
+        """The first connection id that the server chose."""
         return bytes(self._quic.host_cid)
 
     def post(self, command: Command) -> None:
-        """Hands a command to the connection's task; safe from any thread.
+        """Queues a command for the connection's task; thread-safe.
 
         Args:
             command: The command.
@@ -155,91 +156,93 @@
         finally:
             for stream in self._streams_by_id.values():
                 if stream.request_id:
-                    self._runner.abandon(stream.request_id)
+                    self._runner.handle_connection_loss(stream.request_id)
             self._streams_by_id.clear()
 
     def _step(self) -> None:
-        timeout = self._seconds_to_timer()
+        timeout = self._seconds_until_timer()
         try:
             command = self._inbox.get(timeout=timeout)
         except queue.Empty:
             self._quic.handle_timer(self._clock())
         else:
-            self._take(command)
-            for _ in range(BATCH_MAXIMUM):
+            self._execute(command)
+            for _ in range(MAX_BATCH_SIZE):
                 if self._inbox.empty():
                     break
-                self._take(self._inbox.get())
-        self._take_events()
-        self._go_further_away()
+                self._execute(self._inbox.get())
+        self._handle_quic_events()
+        self._advance_goaway()
         self._flush()
 
-    def _seconds_to_timer(self) -> float | None:
+    def _seconds_until_timer(self) -> float | None:
         timer = self._quic.get_timer()
-        due = self._goaway_step_due()
-        if due is not None:
-            timer = due if timer is None else min(timer, due)
+        next_step_at = self._next_goaway_step_at()
+        if next_step_at is not None:
+            timer = next_step_at if timer is None else min(timer, next_step_at)
         if timer is None:
             return None
         return max(timer - self._clock(), 0.001)
 
-    def _take(self, command: Command) -> None:
-        if isinstance(command, TakeDatagram):
+    def _execute(self, command: Command) -> None:
+        if isinstance(command, ReceiveDatagram):
             self._quic.receive_datagram(
                 command.payload, self._peer_address, self._clock()
             )
-            # At once: an answer must not go to a stream that this datagram cancels.
-            self._take_events()
+            # Before the next command: no response may be sent on a stream that this
+            # datagram cancels.
+            self._handle_quic_events()
         elif isinstance(command, GoAway):
-            self._go_away()
+            self._start_goaway()
         elif isinstance(command, CloseConnection):
-            if not command.is_silent:
+            if not command.is_abrupt:
                 self._close()
                 self._flush()
             self._is_terminated = True
         else:
-            self._answer(command)
+            self._respond(command)
 
-    def _answer(
-        self, command: StartAnswer | SendData | EndAnswer | AbortAnswer | FailAnswer
+    def _respond(
+        self,
+        command: StartResponse | SendData | EndResponse | AbortResponse | FailResponse,
     ) -> None:
         stream = self._streams_by_id.get(command.stream_id)
         if stream is None or self._is_terminated:
-            # The caller cancelled, or has this answer: nobody waits for this one.
+            # The caller cancelled the request or already has its final response.
             self._counters.add("answers.late")
             return
-        if isinstance(command, StartAnswer):
+        if isinstance(command, StartResponse):
             fields = [(b":status", str(command.status).encode())]
             fields += [(k.encode(), v.encode("latin-1")) for k, v in command.headers]
             self._http.send_headers(stream.stream_id, fields)
         elif isinstance(command, SendData):
             self._http.send_data(stream.stream_id, command.chunk, end_stream=False)
-        elif isinstance(command, FailAnswer):
-            self._refuse(stream, command.error, command.retry_after)
+        elif isinstance(command, FailResponse):
+            self._send_failure(stream, command.error, command.retry_after)
         else:
-            if isinstance(command, EndAnswer):
+            if isinstance(command, EndResponse):
                 self._http.send_data(stream.stream_id, b"", end_stream=True)
             else:
                 self._quic.reset_stream(stream.stream_id, ErrorCode.H3_INTERNAL_ERROR)
-            self._forget(stream)
+            self._remove_stream(stream)
 
-    def _refuse(
+    def _send_failure(
         self, stream: _Stream, error: ErrorKind, retry_after: float | None
     ) -> None:
         fields = failure_fields(error, retry_after=retry_after)
         self._counters.add(f"requests.failed.{error.value}")
         self._http.send_headers(stream.stream_id, fields, end_stream=True)
-        self._forget(stream)
+        self._remove_stream(stream)
 
-    def _forget(self, stream: _Stream) -> None:
-        stream.is_answered = True
+    def _remove_stream(self, stream: _Stream) -> None:
+        stream.is_completed = True
         self._streams_by_id.pop(stream.stream_id, None)
 
-    def _take_events(self) -> None:
+    def _handle_quic_events(self) -> None:
         while (event := self._quic.next_event()) is not None:
-            self._take_event(event)
+            self._handle_quic_event(event)
 
-    def _take_event(self, event: QuicEvent) -> None:
+    def _handle_quic_event(self, event: QuicEvent) -> None:
         if isinstance(event, ConnectionTerminated):
             self._is_terminated = True
         elif isinstance(event, ConnectionIdIssued):
@@ -249,7 +252,7 @@
         elif isinstance(event, (StreamReset, StopSendingReceived)):
             self._on_cancel(event.stream_id)
         for http_event in self._http.handle_event(event):
-            self._take_http_event(http_event)
+            self._handle_http_event(http_event)
 
     def _on_cancel(self, stream_id: int) -> None:
         stream = self._streams_by_id.pop(stream_id, None)
@@ -260,57 +263,57 @@
             self._runner.cancel(stream.request_id)
         self._quic.reset_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
 
-    def _take_http_event(self, event: H3Event) -> None:
+    def _handle_http_event(self, event: H3Event) -> None:
         if isinstance(event, HeadersReceived):
-            stream = self._stream_of(event.stream_id)
-            if stream.head is None and not stream.is_answered:
-                self._take_head(stream, event)
+            stream = self._get_or_create_stream(event.stream_id)
+            if stream.head is None and not stream.is_completed:
+                self._read_head(stream, event)
         elif isinstance(event, DataReceived):
-            stream = self._stream_of(event.stream_id)
-            if not stream.is_answered:
-                self._take_body(stream, event.data)
+            stream = self._get_or_create_stream(event.stream_id)
+            if not stream.is_completed:
+                self._append_body(stream, event.data)
         else:
             return
-        if event.stream_ended and not stream.is_answered and not stream.request_id:
+        if event.stream_ended and not stream.is_completed and not stream.request_id:
             self._submit(stream)
 
-    def _stream_of(self, stream_id: int) -> _Stream:
+    def _get_or_create_stream(self, stream_id: int) -> _Stream:
         if stream_id < self._next_stream_id:
-            # One that is not known any more was answered or cancelled.
-            known = self._streams_by_id.get(stream_id)
-            return known or _Stream(stream_id, is_answered=True)
+            # A removed stream was completed or cancelled.
+            existing = self._streams_by_id.get(stream_id)
+            return existing or _Stream(stream_id, is_completed=True)
         self._next_stream_id = stream_id + 4
         stream = self._streams_by_id[stream_id] = _Stream(stream_id)
         return stream
 
-    def _take_head(self, stream: _Stream, event: HeadersReceived) -> None:
+    def _read_head(self, stream: _Stream, event: HeadersReceived) -> None:
         try:
             stream.head = read_head(
                 event.headers, timeout=self._settings.request_timeout
             )
         except SiskinshiftError as error:
-            self._refuse(stream, error.kind, None)
+            self._send_failure(stream, error.kind, None)
 
-    def _take_body(self, stream: _Stream, data: bytes) -> None:
+    def _append_body(self, stream: _Stream, data: bytes) -> None:
         stream.body += data
         if len(stream.body) > self._settings.body_maximum:
-            self._refuse(stream, ErrorKind.TOO_LARGE, None)
+            self._send_failure(stream, ErrorKind.TOO_LARGE, None)
 
     def _submit(self, stream: _Stream) -> None:
         head = stream.head
         if head is None:
-            self._refuse(stream, ErrorKind.INVALID_ARGUMENT, None)
+            self._send_failure(stream, ErrorKind.INVALID_ARGUMENT, None)
             return
         if stream.stream_id >= self._goaway_stream_id:
-            self._refuse(stream, ErrorKind.DRAINING, 0.0)
+            self._send_failure(stream, ErrorKind.DRAINING, 0.0)
             return
         try:
-            group_id = group_of(self.service, head.authorization)
+            group_id = find_group_id(self.service, head.authorization)
         except SiskinshiftError as error:
-            self._refuse(stream, error.kind, None)
+            self._send_failure(stream, error.kind, None)
             return
         now = self._clock()
-        stream.request_id = next(request_numbers)
+        stream.request_id = next(request_ids)
         request = Request(
             request_id=stream.request_id,
             service_id=self.service.service_id,
@@ -324,42 +327,42 @@
                 head.path, head.headers, body_size=len(stream.body)
             ),
         )
-        call = Call(
+        http_request = HttpRequest(
             request=request,
             method=head.method,
             path=head.path,
             headers=head.headers,
             body=bytes(stream.body),
-            reply=ConnectionReply(stream.stream_id, self.post),
+            writer=ConnectionResponseWriter(stream.stream_id, self.post),
         )
         stream.body.clear()
-        self._runner.submit(call)
+        self._runner.submit(http_request)
 
-    def _go_away(self) -> None:
-        if self._goaway_at is not None or self._is_terminated:
+    def _start_goaway(self) -> None:
+        if self._goaway_started_at is not None or self._is_terminated:
             return
-        self._goaway_at = self._clock()
+        self._goaway_started_at = self._clock()
         self._send_goaway()
 
     def _send_goaway(self) -> None:
-        # aioquic has no call for GOAWAY: it is one frame on the control stream.
+        # aioquic has no method for GOAWAY: it is one frame on the control stream.
         frame = encode_frame(FrameType.GOAWAY, encode_uint_var(self._goaway_stream_id))
         control_stream_id = self._http._local_control_stream_id
         if control_stream_id is not None:
             self._quic.send_stream_data(control_stream_id, frame)
 
-    def _goaway_step_due(self) -> float | None:
-        if self._goaway_at is None:
+    def _next_goaway_step_at(self) -> float | None:
+        if self._goaway_started_at is None:
             return None
         if self._goaway_stream_id == GOAWAY_FIRST_STREAM_ID:
-            return self._goaway_at + GOAWAY_NOTICE_SECONDS
+            return self._goaway_started_at + GOAWAY_FINAL_DELAY_SECONDS
         if self._streams_by_id or self._is_closing:
             return None
-        return self._goaway_at + GOAWAY_GRACE_SECONDS
+        return self._goaway_started_at + GOAWAY_GRACE_SECONDS
 
-    def _go_further_away(self) -> None:
-        due = self._goaway_step_due()
-        if due is None or self._clock() < due:
+    def _advance_goaway(self) -> None:
+        next_step_at = self._next_goaway_step_at()
+        if next_step_at is None or self._clock() < next_step_at:
             return
         if self._goaway_stream_id == GOAWAY_FIRST_STREAM_ID:
             self._goaway_stream_id = self._next_stream_id
--- a/src/siskinshift/agent/request_flows.py
+++ b/src/siskinshift/agent/request_flows.py
@@ -1,4 +1,4 @@
-"""Flows of mode `request`: hands datagrams to the connections of callers."""
+"""Dispatches the datagrams of flows of mode `request` to HTTP/3 connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from siskinshift.agent.connection_commands import CloseConnection
 from siskinshift.agent.connection_commands import GoAway
-from siskinshift.agent.connection_commands import TakeDatagram
+from siskinshift.agent.connection_commands import ReceiveDatagram
 from siskinshift.agent.request_connection import RequestConnection
 from siskinshift.core.errors import ErrorKind
 from siskinshift.core.packets import Packet
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from aioquic.quic.packet import QuicHeader
 
-    from siskinshift.agent.datagram_flows import AnswerSender
     from siskinshift.agent.datagram_flows import FlowEndListener
+    from siskinshift.agent.datagram_flows import ReplySender
     from siskinshift.agent.request_runner import RequestRunner
     from siskinshift.agent.request_runner import Spawner
     from siskinshift.core.clocks import Clock
@@ -36,18 +36,18 @@
 
 HTTP3_ALPN = "h3"
 CONNECTION_ID_SIZE = 8
-# RFC 9000, 14.1: a smaller datagram does not open a connection.
-FIRST_DATAGRAM_SIZE_MINIMUM = 1200
+# RFC 9000, 14.1: a smaller datagram must not open a connection.
+MIN_FIRST_DATAGRAM_SIZE = 1200
 
 
 @define(eq=False)
 class _RequestFlow:
-    digest: int
+    flow_hash: int
     connections_by_id: dict[bytes, RequestConnection] = field(factory=dict)
 
 
 def server_configuration(settings: AgentSettings) -> QuicConfiguration | None:
-    """Loads the certificate for callers.
+    """Creates the QUIC server configuration with the agent's certificate.
 
     Args:
         settings: Settings of the agent.
@@ -70,10 +70,10 @@
 
 
 class RequestFlows:
-    """Knows the connections of each flow by the connection ids this side chose.
+    """Maps the connection ids of each flow to its connections.
 
-    A flow is one caller endpoint; it may carry several connections one after the
-    other, or at once.
+    The agent chooses the ids. A flow is one caller endpoint. It may carry several
+    connections, one after the other or concurrently.
     """
 
     def __init__(
@@ -84,19 +84,19 @@
         spawn: Spawner,
         clock: Clock,
         counters: Counters,
-        send_reply: AnswerSender,
+        send_reply: ReplySender,
         on_flow_end: FlowEndListener,
     ) -> None:
-        """Prepares without any flow.
+        """Initializes the dispatcher without any flow.
 
         Args:
             settings: Settings of the agent.
-            runner: Takes requests.
+            runner: Receives the requests.
             spawn: Runs a task on a thread.
             clock: Clock of the process.
             counters: Counters of the process.
-            send_reply: Takes a datagram on its way to the caller.
-            on_flow_end: Called with the hash of a flow that has no connection.
+            send_reply: Sends a datagram to the caller.
+            on_flow_end: Called with the hash of a flow without connections.
         """
         self._settings = settings
         self._configuration = server_configuration(settings)
@@ -104,30 +104,30 @@
         self._spawn = spawn
         self._clock = clock
         self._counters = counters
-        self._send_answer = send_reply
+        self._send_reply = send_reply
         self._on_flow_end = on_flow_end
         self._lock = threading.Lock()
-        self._flows_by_digest: dict[int, _RequestFlow] = {}
+        self._flows_by_hash: dict[int, _RequestFlow] = {}
         self._is_draining = False
         self._is_closed = False
 
     def __len__(self) -> int:
-        return len(self._flows_by_digest)
+        return len(self._flows_by_hash)
 
-    def deliver(self, digest: int, service: Service, packet: Packet) -> None:
-        """Hands a caller's datagram to its connection.
+    def deliver(self, flow_hash: int, service: Service, packet: Packet) -> None:
+        """Passes a caller's datagram to its connection.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             service: Service of the flow.
             packet: The datagram.
         """
-        connection = self._connection_for(digest, service, packet)
+        connection = self._connection_for(flow_hash, service, packet)
         if connection is not None:
-            connection.post(TakeDatagram(packet.payload))
+            connection.post(ReceiveDatagram(packet.payload))
 
     def drain(self) -> None:
-        """Tells every caller to send its next request on a new connection."""
+        """Sends GOAWAY on all connections and on each new one."""
         with self._lock:
             if self._is_draining:
                 return
@@ -136,67 +136,71 @@
             connection.post(GoAway())
 
     def resume(self) -> None:
-        """Takes new connections as before."""
+        """Stops sending GOAWAY on new connections."""
         with self._lock:
             self._is_draining = False
 
-    def close(self, *, is_silent: bool) -> None:
-        """Ends all connections at once.
+    def close(self, *, is_abrupt: bool) -> None:
+        """Closes all connections immediately.
 
         Args:
-            is_silent: Whether callers are left without a word.
+            is_abrupt: Whether no CONNECTION_CLOSE is sent to callers.
         """
         with self._lock:
             self._is_closed = True
         for connection in self._connections():
-            connection.post(CloseConnection(is_silent))
+            connection.post(CloseConnection(is_abrupt))
 
     def _connections(self) -> set[RequestConnection]:
         with self._lock:
             return {
                 connection
-                for flow in self._flows_by_digest.values()
+                for flow in self._flows_by_hash.values()
                 for connection in flow.connections_by_id.values()
             }
 
     def _connection_for(
-        self, digest: int, service: Service, packet: Packet
+        self, flow_hash: int, service: Service, packet: Packet
     ) -> RequestConnection | None:
         try:
             header = pull_quic_header(
                 Buffer(data=packet.payload), host_cid_length=CONNECTION_ID_SIZE
             )
         except ValueError:
-            self._drop(digest, ErrorKind.BAD_HEADER)
+            self._drop(flow_hash, ErrorKind.BAD_HEADER)
             return None
         with self._lock:
-            flow = self._flows_by_digest.get(digest)
-            known = flow and flow.connections_by_id.get(header.destination_cid)
-        if known:
-            return known
+            flow = self._flows_by_hash.get(flow_hash)
+            existing = flow and flow.connections_by_id.get(header.destination_cid)
+        if existing:
+            return existing
         if not self._opens_connection(header, packet):
-            # A caller whose address changed, or one of a former life of this agent:
-            # its keys are not here, so nothing can be said to it.
-            self._drop(digest, ErrorKind.UNKNOWN_CONNECTION)
+            # The caller changed its address, or the connection belongs to an earlier
+            # process of this agent. Its keys are unknown, so no reply is possible.
+            self._drop(flow_hash, ErrorKind.UNKNOWN_CONNECTION)
             return None
-        return self._open(digest, service, packet, header.destination_cid)
+        return self._open(flow_hash, service, packet, header.destination_cid)
 
     def _opens_connection(self, header: QuicHeader, packet: Packet) -> bool:
         return (
             self._configuration is not None
             and header.packet_type is QuicPacketType.INITIAL
             and header.version in self._configuration.supported_versions
-            and len(packet.payload) >= FIRST_DATAGRAM_SIZE_MINIMUM
+            and len(packet.payload) >= MIN_FIRST_DATAGRAM_SIZE
         )
 
     def _open(
-        self, digest: int, service: Service, packet: Packet, first_id: bytes
+        self,
+        flow_hash: int,
+        service: Service,
+        packet: Packet,
+        original_connection_id: bytes,
     ) -> RequestConnection:
         assert self._configuration is not None
-        flow = self._flows_by_digest.get(digest) or _RequestFlow(digest)
+        flow = self._flows_by_hash.get(flow_hash) or _RequestFlow(flow_hash)
         connection = RequestConnection(
             configuration=self._configuration,
-            original_connection_id=first_id,
+            original_connection_id=original_connection_id,
             caller=packet.caller,
             service=service,
             settings=self._settings,
@@ -204,21 +208,21 @@
             clock=self._clock,
             counters=self._counters,
             send=partial(self._send, packet),
-            on_connection_id=lambda number, is_issued: self._note_id(
-                flow, connection, number, is_issued
+            on_connection_id=lambda connection_id, is_issued: (
+                self._update_connection_id(flow, connection, connection_id, is_issued)
             ),
         )
         with self._lock:
-            flow.connections_by_id[first_id] = connection
+            flow.connections_by_id[original_connection_id] = connection
             flow.connections_by_id[connection.connection_id] = connection
-            self._flows_by_digest[digest] = flow
+            self._flows_by_hash[flow_hash] = flow
             is_closed = self._is_closed
         self._counters.add("connections.opened")
         if self._is_draining:
             connection.post(GoAway())
         if is_closed:
-            # It came between `close` and the end of the loop that delivers.
-            connection.post(CloseConnection(is_silent=True))
+            # Opened between `close` and the end of the receive loop.
+            connection.post(CloseConnection(is_abrupt=True))
         self._spawn(self._serve, flow, connection)
         return connection
 
@@ -227,33 +231,33 @@
             connection.run()
         finally:
             with self._lock:
-                for number, known in tuple(flow.connections_by_id.items()):
-                    if known is connection:
-                        del flow.connections_by_id[number]
+                for connection_id, existing in tuple(flow.connections_by_id.items()):
+                    if existing is connection:
+                        del flow.connections_by_id[connection_id]
                 is_ended = not flow.connections_by_id
                 if is_ended:
-                    self._flows_by_digest.pop(flow.digest, None)
+                    self._flows_by_hash.pop(flow.flow_hash, None)
             if is_ended:
-                self._on_flow_end(flow.digest)
+                self._on_flow_end(flow.flow_hash)
 
-    def _note_id(
+    def _update_connection_id(
         self,
         flow: _RequestFlow,
         connection: RequestConnection,
-        number: bytes,
+        connection_id: bytes,
         is_issued: bool,
     ) -> None:
         with self._lock:
             if is_issued:
-                flow.connections_by_id[number] = connection
+                flow.connections_by_id[connection_id] = connection
             else:
-                flow.connections_by_id.pop(number, None)
+                flow.connections_by_id.pop(connection_id, None)
 
     def _send(self, packet: Packet, datagram: bytes) -> None:
-        self._send_answer(Packet(packet.caller, packet.service_address, datagram))
+        self._send_reply(Packet(packet.caller, packet.service_address, datagram))
 
-    def _drop(self, digest: int, error: ErrorKind) -> None:
+    def _drop(self, flow_hash: int, error: ErrorKind) -> None:
         self._counters.add(f"dropped.{error.value}")
-        if digest not in self._flows_by_digest:
-            # The router took it as a new flow; there is none.
-            self._on_flow_end(digest)
+        if flow_hash not in self._flows_by_hash:
+            # The router registered a new flow, but no connection was opened.
+            self._on_flow_end(flow_hash)
--- a/src/siskinshift/agent/request_heads.py
+++ b/src/siskinshift/agent/request_heads.py
@@ -1,18 +1,19 @@
-"""Reads the head of an HTTP/3 request.
+"""Parses the header fields of an HTTP/3 request.
 
-Source: RFC 9114 (pseudo-headers), RFC 9110 (methods, hop-by-hop fields); the field
-`Idempotency-Key` is the draft of the IETF's HTTPAPI group.
+Implements RFC 9114 (pseudo-header fields) and RFC 9110 (methods, hop-by-hop fields).
+The `Idempotency-Key` field follows the draft of the IETF HTTPAPI working group.
 """
 
 from __future__ import annotations
 
 from attrs import frozen
 
-from siskinshift.agent.calls import Headers
 from siskinshift.agent.exceptions import BadRequestError
+from siskinshift.agent.http_requests import Headers
 
 
-# Milliseconds that the caller still waits; relative, so that clocks need not agree.
+# Remaining timeout of the caller in milliseconds; relative, so that clocks need not be
+# synchronized.
 TIMEOUT_HEADER = "siskinshift-timeout-ms"
 IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
@@ -36,15 +37,15 @@
 
 @frozen
 class RequestHead:
-    """What the agent needs of a request's head.
+    """Parsed header fields of a request.
 
     Attributes:
         method: HTTP method.
-        path: Path with the query.
+        path: Path including the query.
         headers: End-to-end headers for the upstream.
-        authorization: Authorization header, or empty.
+        authorization: Value of the Authorization header, or empty.
         key: Idempotency key, or empty.
-        timeout: Seconds that the caller waits.
+        timeout: Seconds that the caller waits for the response.
     """
 
     method: str
@@ -56,38 +57,38 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether running the request twice does no harm.
+        """Whether the request may safely run twice.
 
-        The method says so, or an idempotency key by which the upstream knows a
-        request again.
+        True for idempotent methods, and with an idempotency key, by which the upstream
+        detects duplicates.
         """
         return self.method in IDEMPOTENT_METHODS or bool(self.key)
 
 
 def read_head(fields: list[tuple[bytes, bytes]], *, timeout: float) -> RequestHead:
-    """Reads the fields of a request.
+    """Parses the header fields of a request.
 
     Args:
-        fields: Fields as they came.
-        timeout: Longest wait allowed, seconds; also taken when none is named.
+        fields: Header fields as received.
+        timeout: Maximum and default timeout, seconds.
 
     Returns:
-        The head.
+        The parsed fields.
 
     Raises:
-        BadRequestError: A needed field is missing or can't be read.
+        BadRequestError: A required field is missing or invalid.
     """
-    texts = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in fields]
-    values_by_name = dict(texts)
+    text_fields = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in fields]
+    values_by_name = dict(text_fields)
     try:
         method, path = values_by_name[":method"], values_by_name[":path"]
     except KeyError as error:
-        raise BadRequestError(f"no {error}") from error
+        raise BadRequestError(f"missing pseudo-header {error}") from error
     if not path.startswith("/") or not method.isalpha():
-        raise BadRequestError("method or path")
+        raise BadRequestError("invalid method or path")
     headers = tuple(
         (name, value)
-        for name, value in texts
+        for name, value in text_fields
         if not name.startswith(":") and name not in HOP_BY_HOP_HEADERS
     )
     return RequestHead(
@@ -100,11 +101,11 @@
     )
 
 
-def _read_timeout(text: str | None, longest: float) -> float:
+def _read_timeout(text: str | None, max_timeout: float) -> float:
     if text is None:
-        return longest
+        return max_timeout
     try:
         milliseconds = int(text)
     except ValueError as error:
         raise BadRequestError(TIMEOUT_HEADER) from error
-    return min(max(milliseconds, 0) / 1000, longest)
+    return min(max(milliseconds, 0) / 1000, max_timeout)
--- a/src/siskinshift/agent/upstream_connections.py
+++ b/src/siskinshift/agent/upstream_connections.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections to the upstream, kept for reuse by repeatable requests."""
+"""Pools HTTP/1.1 connections to the upstream for reuse by repeatable requests."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     from siskinshift.messages.core import Endpoint
 
 
-KEPT_MAXIMUM = 16
+MAX_IDLE_CONNECTIONS = 16
 
 
 class UpstreamConnections:
-    """Opens connections and keeps a few idle ones."""
+    """Opens connections and keeps a limited number of idle ones."""
 
     def __init__(self, upstream: Endpoint) -> None:
         self._upstream = upstream
         self._lock = threading.Lock()
-        self._kept: list[http.client.HTTPConnection] = []
+        self._idle_connections: list[http.client.HTTPConnection] = []
 
     def open(self, *, timeout: float) -> http.client.HTTPConnection:
-        """Connects anew.
+        """Opens a new connection.
 
         Args:
-            timeout: Seconds allowed for each step on the socket.
+            timeout: Timeout of each socket operation, seconds.
 
         Returns:
-            A connection on which nothing was sent yet.
+            A connection on which nothing was sent.
 
         Raises:
-            UpstreamUnreachableError: The upstream takes no connection.
+            UpstreamUnreachableError: The upstream does not accept the connection.
         """
         connection = http.client.HTTPConnection(
             self._upstream.host, self._upstream.port, timeout=timeout
@@ -49,53 +49,56 @@
             raise UpstreamUnreachableError(str(error)) from error
         return connection
 
-    def take_kept(self, *, timeout: float) -> http.client.HTTPConnection | None:
-        """Takes a kept connection that does not look dead.
+    def claim_idle(self, *, timeout: float) -> http.client.HTTPConnection | None:
+        """Claims an idle connection that does not appear to be closed.
 
-        It may be dead all the same: between this look and the upstream's time-out
-        no lock holds. So only repeatable requests may use it.
+        The upstream may still close it on its idle timeout after this check, so only
+        repeatable requests may use it.
 
         Args:
-            timeout: Seconds allowed for each step on the socket.
+            timeout: Timeout of each socket operation, seconds.
 
         Returns:
             The connection, or None.
         """
         while True:
             with self._lock:
-                if not self._kept:
+                if not self._idle_connections:
                     return None
-                connection = self._kept.pop()
-            if not _looks_dead(connection):
+                connection = self._idle_connections.pop()
+            if not _is_stale(connection):
                 connection.sock.settimeout(timeout)
                 return connection
             connection.close()
 
-    def keep(self, connection: http.client.HTTPConnection) -> None:
-        """Keeps a connection whose last answer was read to its end.
+    def release(self, connection: http.client.HTTPConnection) -> None:
+        """Returns a connection whose last response was read completely to the pool.
 
         Args:
             connection: The connection.
         """
         with self._lock:
-            if len(self._kept) < KEPT_MAXIMUM and connection.sock is not None:
-                self._kept.append(connection)
+            if (
+                len(self._idle_connections) < MAX_IDLE_CONNECTIONS
+                and connection.sock is not None
+            ):
+                self._idle_connections.append(connection)
                 return
         connection.close()
 
     def close(self) -> None:
-        """Closes all kept connections."""
+        """Closes all idle connections."""
         with self._lock:
-            kept, self._kept = self._kept, []
-        for connection in kept:
+            idle, self._idle_connections = self._idle_connections, []
+        for connection in idle:
             connection.close()
 
 
-def _looks_dead(connection: http.client.HTTPConnection) -> bool:
-    # An idle connection with something to read was closed, or speaks out of turn.
+def _is_stale(connection: http.client.HTTPConnection) -> bool:
+    # An idle connection with data to read was closed or has sent unsolicited data.
     if connection.sock is None:
         return True
-    # poll, because select refuses descriptors from 1024 on and an agent has more.
+    # poll, because select fails for descriptors from 1024 on and an agent has more.
     poll = select.poll()
     try:
         poll.register(connection.sock, select.POLLIN)
