--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -1,4 +1,4 @@
-"""The balancer: takes datagrams of the fabric and passes each to an agent."""
+"""Balancer process that forwards each datagram of the fabric to an agent."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     from siskinshift.settings.generated import Settings
 
 
-# A fabric that still knows this balancer sends within a second under any load.
+# A fabric that still routes to this balancer sends within 1 s under any load.
 QUIET_SECONDS = 1.0
-LEAVE_SECONDS_MAXIMUM = 30.0
+MAX_LEAVE_SECONDS = 30.0
 
 
 class BalancerApplication(NodeApplication):
-    """One entry instance."""
+    """Forwards datagrams, reads the configuration and serves the operators' API."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(
@@ -43,20 +43,20 @@
         )
         self._chooser = AgentChooser()
         self._view_version = 0
-        self._received_at = monotonic_clock()
-        self._operators: OperatorsServer | None = None
+        self._last_received_at = monotonic_clock()
+        self._operators_server: OperatorsServer | None = None
         self._store = EtcdStore(settings.kv)
         self._reader = ConfigurationReader(
             settings=settings.kv,
             store=self._store,
             member=self.member,
-            on_services=self._take_services,
+            on_services=self._apply_services,
             on_entry_slot=self._announce_entry_slot,
             spawn=self.spawn,
         )
 
     def on_start(self) -> None:
-        """Opens the control server and starts forwarding."""
+        """Opens the control server, joins membership and starts forwarding."""
         self.open_node()
         self.membership.views.subscribe(self._on_view)
         self.membership.start()
@@ -74,12 +74,12 @@
     @property
     def operators_ports(self) -> list[int]:
         """Ports of the operators' API; empty while it is not served."""
-        return self._operators.ports if self._operators else []
+        return self._operators_server.ports if self._operators_server else []
 
     def _start_operators_api(self) -> None:
         if not self.settings.api.endpoints:
             return
-        # Imported here: the library costs tens of megabytes resident, and only the
+        # Imported here: the library adds tens of megabytes of resident memory, and only
         # balancers that serve the API need it.
         from siskinshift.api.server import OperatorsServer
         from siskinshift.api.service import OperatorsService
@@ -91,21 +91,22 @@
             membership=self.membership,
             store_available=lambda: store.available,
         )
-        self._operators = OperatorsServer(self.settings.api, service)
-        self.owns(self._operators.stop)
-        self._operators.start()
+        self._operators_server = OperatorsServer(self.settings.api, service)
+        self.owns(self._operators_server.stop)
+        self._operators_server.start()
 
     def leave(self, at_once: threading.Event) -> None:
-        """Goes on forwarding until the fabric has stopped to send.
+        """Continues forwarding until the fabric has stopped sending.
 
-        No flow depends on a balancer; only datagrams on their way here would be cut.
+        No flow depends on a balancer. Stopping earlier would only lose datagrams in
+        flight to it.
 
         Args:
             at_once: Ends the wait when set.
         """
         self.membership.change_own(state=MemberState.DRAINING, weight=0)
-        until = monotonic_clock() + LEAVE_SECONDS_MAXIMUM
-        while monotonic_clock() < min(until, self._received_at + QUIET_SECONDS):
+        deadline = monotonic_clock() + MAX_LEAVE_SECONDS
+        while monotonic_clock() < min(deadline, self._last_received_at + QUIET_SECONDS):
             if at_once.wait(QUIET_SECONDS / 10):
                 return
 
@@ -118,12 +119,12 @@
         if not self.stopping.is_set():
             self.membership.announce_entry_slot(revision)
 
-    def _take_services(self, services: list[Service]) -> None:
+    def _apply_services(self, services: list[Service]) -> None:
         if self.membership.services.merge_all(services):
             self.membership.services_changed()
 
     def _on_datagram(self, datagram: bytes, source: tuple[str, int]) -> None:
-        self._received_at = monotonic_clock()
+        self._last_received_at = monotonic_clock()
         try:
             packet = self.codec.unpack(datagram)
         except WireError as error:
