--- a/src/siskinshift/agent/buffered_response.py
+++ b/src/siskinshift/agent/buffered_response.py
@@ -14,7 +14,7 @@
     from siskinshift.core.errors import ErrorKind
 
 
-MAX_RESPONSE_SIZE = 16 << 20
+MAX_RESPONSE_BYTES = 16 << 20
 
 
 class BufferedResponse:
@@ -26,7 +26,7 @@
         body: Body received so far.
         is_complete: Whether the response was received in full.
         is_stream: Whether the response is an event stream.
-        on_too_large: Called when the body exceeds `MAX_RESPONSE_SIZE`.
+        on_too_large: Called when the body exceeds `MAX_RESPONSE_BYTES`.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
     def write(self, chunk: bytes) -> None:
         """Appends a part of the body."""
         self.body += chunk
-        if len(self.body) > MAX_RESPONSE_SIZE and self.on_too_large is not None:
+        if len(self.body) > MAX_RESPONSE_BYTES and self.on_too_large is not None:
             self.on_too_large()
 
     def end(self) -> None:
--- a/src/siskinshift/agent/datagram_flows.py
+++ b/src/siskinshift/agent/datagram_flows.py
@@ -1,4 +1,4 @@
-"""Relays flows of mode `datagram` through one socket to the upstream for each flow."""
+"""Relays flows of mode `datagram`, each through its own loopback socket."""
 
 from __future__ import annotations
 
--- a/src/siskinshift/agent/pinned_paths.py
+++ b/src/siskinshift/agent/pinned_paths.py
@@ -20,7 +20,7 @@
 
 
 MAX_PATHS = 256
-MAX_HANDOVER_BODY_SIZE = 256 << 10
+MAX_HANDOVER_BODY_BYTES = 256 << 10
 
 
 class PinnedPaths:
@@ -52,7 +52,7 @@
         Returns:
             True for event streams and large bodies.
         """
-        if body_size > MAX_HANDOVER_BODY_SIZE:
+        if body_size > MAX_HANDOVER_BODY_BYTES:
             return True
         if any(name == "accept" and EVENT_STREAM in value for name, value in headers):
             return True
--- a/src/siskinshift/agent/request_flows.py
+++ b/src/siskinshift/agent/request_flows.py
@@ -37,7 +37,7 @@
 HTTP3_ALPN = "h3"
 CONNECTION_ID_SIZE = 8
 # RFC 9000, 14.1: a smaller datagram must not open a connection.
-MIN_FIRST_DATAGRAM_SIZE = 1200
+MIN_FIRST_DATAGRAM_BYTES = 1200
 
 
 @define(eq=False)
@@ -186,7 +186,7 @@
             self._configuration is not None
             and header.packet_type is QuicPacketType.INITIAL
             and header.version in self._configuration.supported_versions
-            and len(packet.payload) >= MIN_FIRST_DATAGRAM_SIZE
+            and len(packet.payload) >= MIN_FIRST_DATAGRAM_BYTES
         )
 
     def _open(
--- a/src/siskinshift/agent/upstream_exchange.py
+++ b/src/siskinshift/agent/upstream_exchange.py
@@ -41,7 +41,7 @@
     """How an exchange ended.
 
     Attributes:
-        result: What became of the request at the upstream.
+        result: Result of the request at the upstream.
         succeeded: Whether the response counts as a success of the upstream.
         has_response: Whether the caller received a response, complete or truncated.
     """
