--- a/src/siskinshift/api/__init__.py
+++ b/src/siskinshift/api/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' gRPC API."""
+"""gRPC API for operators: server, typed client and message conversion."""
 
 from __future__ import annotations
--- a/src/siskinshift/api/access.py
+++ b/src/siskinshift/api/authorization.py
@@ -1,4 +1,7 @@
-"""Decides what the bearer of a token may do."""
+"""Authorizes calls of the operators' API by their bearer token.
+
+Operator tokens permit reads and changes, viewer tokens permit reads only.
+"""
 
 from __future__ import annotations
 
@@ -20,42 +23,42 @@
 
 
 class Permission(StrEnum):
-    """What a call needs."""
+    """Permission that a call requires."""
 
     READ = "read"
     CHANGE = "change"
 
 
-class Access:
-    """Knows the tokens of operators and viewers."""
+class TokenAuthorizer:
+    """Checks bearer tokens against the configured operator and viewer tokens."""
 
     def __init__(self, settings: ApiSettings) -> None:
-        self._operators = settings.operator_tokens
-        self._viewers = settings.viewer_tokens
+        self._operator_tokens = settings.operator_tokens
+        self._viewer_tokens = settings.viewer_tokens
 
-    def check(
+    def authorize(
         self, metadata: Iterable[tuple[str, str | bytes]], permission: Permission
     ) -> None:
-        """Checks a call.
+        """Checks that a call carries a token with the required permission.
 
         Args:
             metadata: Metadata of the call.
-            permission: What it needs.
+            permission: Permission that the call requires.
 
         Raises:
-            UnauthenticatedError: The call carries no known token.
-            ForbiddenError: The token may not do this.
+            UnauthenticatedError: The call carries no configured token.
+            ForbiddenError: The token lacks the permission.
         """
-        token = _token_of(metadata)
-        if _is_among(token, self._operators):
+        token = _bearer_token(metadata)
+        if _matches_any(token, self._operator_tokens):
             return
-        if not _is_among(token, self._viewers):
+        if not _matches_any(token, self._viewer_tokens):
             raise UnauthenticatedError("a known bearer token is needed")
         if permission is Permission.CHANGE:
             raise ForbiddenError("this token may read only")
 
 
-def _token_of(metadata: Iterable[tuple[str, str | bytes]]) -> bytes:
+def _bearer_token(metadata: Iterable[tuple[str, str | bytes]]) -> bytes:
     for key, value in metadata:
         if key != AUTHORIZATION_KEY:
             continue
@@ -65,7 +68,8 @@
     return b""
 
 
-def _is_among(token: bytes, secrets: tuple[Secret, ...]) -> bool:
-    # Every secret is compared, in constant time: the time taken tells nothing.
+def _matches_any(token: bytes, secrets: tuple[Secret, ...]) -> bool:
+    # Compares with every secret, each in constant time, so that the response time
+    # reveals neither a prefix of a token nor which token matched.
     matches = [hmac.compare_digest(token, secret.value.encode()) for secret in secrets]
     return any(matches)
--- a/src/siskinshift/api/client.py
+++ b/src/siskinshift/api/client.py
@@ -1,4 +1,8 @@
-"""Typed client of the operators' API, for the command line and for scripts."""
+"""Typed client of the operators' API, for the command line and for scripts.
+
+Before each change the client checks that the balancer is reachable, so that an
+unreachable balancer is not reported as a change with an unknown outcome.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +12,10 @@
 import grpc
 from attrs import frozen
 
-from siskinshift.api.conversion import group_message
-from siskinshift.api.conversion import member_from
-from siskinshift.api.conversion import service_in_force
-from siskinshift.api.conversion import service_message
+from siskinshift.api.conversion import group_to_message
+from siskinshift.api.conversion import member_from_message
+from siskinshift.api.conversion import service_from_reply
+from siskinshift.api.conversion import service_to_message
 from siskinshift.api.exceptions import OperatorsCallError
 from siskinshift.api.generated import operators_pb2 as pb
 from siskinshift.api.generated.operators_pb2_grpc import OperatorsStub
@@ -19,7 +23,7 @@
 from siskinshift.api.protocol import BEARER_PREFIX
 from siskinshift.api.protocol import CURRENT_REVISION_KEY
 from siskinshift.api.protocol import ERROR_KIND_KEY
-from siskinshift.api.protocol import REQUEST_SIZE_MAXIMUM
+from siskinshift.api.protocol import MAX_REQUEST_BYTES
 from siskinshift.configuration.store import AcceptedChange
 from siskinshift.configuration.store import new_change_id
 from siskinshift.core.endpoints import format_endpoint
@@ -37,32 +41,32 @@
     from siskinshift.messages.core import Group
 
 
-REACH_SECONDS = 3.0
-# No service can have this name, so the answer is empty.
-NO_SERVICE_ID = "."
-# Longer than the server's own efforts to find out what became of a change.
-CALL_SECONDS = 20.0
+REACHABILITY_TIMEOUT_SECONDS = 3.0
+# Not a valid service id, so the response is always empty.
+NONEXISTENT_SERVICE_ID = "."
+# Longer than the server's own attempts to determine the outcome of a change.
+CALL_TIMEOUT_SECONDS = 20.0
 
 
 @frozen
 class ClientSettings:
-    """Where the API is and how to speak to it.
+    """Address of the API, credentials and timeouts.
 
     Attributes:
-        endpoint: A balancer's API endpoint.
+        endpoint: API endpoint of a balancer.
         token: Bearer token.
-        authority: Certificates in PEM that the server's is checked against.
+        authority: Certificates in PEM that verify the server's certificate.
         server_name: Name in the server's certificate; empty for the endpoint's host.
-        timeout: Time allowed for a call, seconds.
-        reach_timeout: Time allowed for the look whether the balancer is there, seconds.
+        timeout: Timeout of a call, seconds.
+        reach_timeout: Timeout of the reachability check before a change, seconds.
     """
 
     endpoint: Endpoint
     token: Secret
     authority: bytes
     server_name: str = ""
-    timeout: float = CALL_SECONDS
-    reach_timeout: float = REACH_SECONDS
+    timeout: float = CALL_TIMEOUT_SECONDS
+    reach_timeout: float = REACHABILITY_TIMEOUT_SECONDS
 
 
 @frozen
@@ -70,8 +74,8 @@
     """A change that took effect.
 
     Attributes:
-        change_id: Its id.
-        service_id: Service it changed.
+        change_id: Id of the change.
+        service_id: Service that it changed.
         revision: Revision at which it took effect.
     """
 
@@ -82,15 +86,15 @@
 
 @frozen
 class StatusReport:
-    """The system as one balancer sees it.
+    """State of the system in the view of one balancer.
 
     Attributes:
-        member_id: The balancer that answered.
-        view_version: Counts the views it has had.
-        configuration_revision: Newest revision in force on it.
-        store_available: Whether the key-value service answered it last time.
+        member_id: Member id of the balancer that replied.
+        view_version: Number of views that the balancer has published.
+        configuration_revision: Newest revision in force on the balancer.
+        store_available: Whether its last request to the key-value service succeeded.
         services: Number of services in force.
-        members: All processes it knows, ordered by member id.
+        members: All processes in its view, ordered by member id.
     """
 
     member_id: str
@@ -103,11 +107,11 @@
 
 @frozen
 class ServiceUpdate:
-    """A service as it came into force, or its end.
+    """A new revision of a service, or its deletion.
 
     Attributes:
-        service: The service; of a deleted one only id, revision and change id count.
-        deleted: Whether it was deleted.
+        service: The service; only id, revision and change id are set after a deletion.
+        deleted: Whether the service was deleted.
     """
 
     service: Service
@@ -115,21 +119,21 @@
 
 
 class OperatorsClient:
-    """Makes the calls of the API; safe to share between threads.
+    """Client of the operators' API; safe to share between threads.
 
-    Every method raises OperatorsCallError when the call does not succeed. For a
-    change its kind tells what became of it: `outcome_unknown` means that it may have
-    taken effect, any other kind that it did not.
+    Every method raises OperatorsCallError when the call fails. For a change, the kind
+    `outcome_unknown` means that it may have taken effect; any other kind means that it
+    did not.
     """
 
     def __init__(self, settings: ClientSettings) -> None:
-        """Prepares the client; connects with the first call.
+        """Initializes the client; it connects with the first call.
 
         Args:
-            settings: Where the API is.
+            settings: Address of the API, credentials and timeouts.
         """
         self._settings = settings
-        # Retries by the library are switched off: a change is sent once.
+        # Disables retries by the gRPC library, so that a change is sent only once.
         options: list[tuple[str, int | str]] = [("grpc.enable_retries", 0)]
         if settings.server_name:
             options.append(
@@ -140,11 +144,11 @@
             format_endpoint(settings.endpoint), credentials, options=options
         )
         self._stub: Any = OperatorsStub(self._channel)
-        bearer = BEARER_PREFIX + settings.token.value
-        self._metadata = ((AUTHORIZATION_KEY, bearer),)
+        authorization = BEARER_PREFIX + settings.token.value
+        self._metadata = ((AUTHORIZATION_KEY, authorization),)
 
     def close(self) -> None:
-        """Closes the connection and ends watches."""
+        """Closes the connection and ends all watches."""
         self._channel.close()
 
     def create_service(
@@ -154,7 +158,7 @@
 
         Args:
             service: The service; revision, change id, drained and evacuated are
-                passed over.
+                ignored.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -163,18 +167,19 @@
         return self._change(
             self._stub.CreateService,
             lambda: pb.CreateServiceRequest(
-                change_id=change_id or new_change_id(), service=service_message(service)
+                change_id=change_id or new_change_id(),
+                service=service_to_message(service),
             ),
         )
 
     def replace_service(
         self, service: Service, *, revision: int, change_id: str = ""
     ) -> AcceptedChange:
-        """Replaces a service's content.
+        """Replaces the content of a service.
 
         Args:
             service: The new content.
-            revision: Revision it was made from.
+            revision: Revision that the new content is based on.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -184,7 +189,7 @@
             self._stub.ReplaceService,
             lambda: pb.ReplaceServiceRequest(
                 change_id=change_id or new_change_id(),
-                service=service_message(service),
+                service=service_to_message(service),
                 revision=revision,
             ),
         )
@@ -195,8 +200,8 @@
         """Deletes a service.
 
         Args:
-            service_id: The service.
-            revision: Revision the operator has seen.
+            service_id: Id of the service.
+            revision: Revision that is expected to be current.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -217,9 +222,9 @@
         """Adds or replaces a group.
 
         Args:
-            service_id: The service.
+            service_id: Id of the service.
             group: The group.
-            revision: Revision the operator has seen; 0 for whatever is current.
+            revision: Revision that is expected to be current; 0 skips the check.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -230,7 +235,7 @@
             lambda: pb.PutGroupRequest(
                 change_id=change_id or new_change_id(),
                 service_id=service_id,
-                group=group_message(group),
+                group=group_to_message(group),
                 revision=revision,
             ),
         )
@@ -241,9 +246,9 @@
         """Removes a group.
 
         Args:
-            service_id: The service.
-            group_id: The group.
-            revision: Revision the operator has seen; 0 for whatever is current.
+            service_id: Id of the service.
+            group_id: Id of the group.
+            revision: Revision that is expected to be current; 0 skips the check.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -268,13 +273,13 @@
         revision: int = 0,
         change_id: str = "",
     ) -> AcceptedChange:
-        """Sets the share a group is owed.
+        """Sets the share of a group.
 
         Args:
-            service_id: The service.
-            group_id: The group.
-            share: The share, above 0.
-            revision: Revision the operator has seen; 0 for whatever is current.
+            service_id: Id of the service.
+            group_id: Id of the group.
+            share: The share; must be above 0.
+            revision: Revision that is expected to be current; 0 skips the check.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -300,13 +305,13 @@
         revision: int = 0,
         change_id: str = "",
     ) -> AcceptedChange:
-        """Drains an agent of a service, or takes that back.
+        """Starts or ends the drain of an agent for a service.
 
         Args:
-            service_id: The service.
+            service_id: Id of the service.
             member_id: Member id of the agent.
-            drained: Whether it is to be drained.
-            revision: Revision the operator has seen; 0 for whatever is current.
+            drained: True to start the drain, False to end it.
+            revision: Revision that is expected to be current; 0 skips the check.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -332,13 +337,13 @@
         revision: int = 0,
         change_id: str = "",
     ) -> AcceptedChange:
-        """Evacuates a failure domain for a service, or takes it back.
+        """Starts or ends the evacuation of a failure domain for a service.
 
         Args:
-            service_id: The service.
+            service_id: Id of the service.
             failure_domain: The failure domain.
-            evacuated: Whether its agents are to get no new flows.
-            revision: Revision the operator has seen; 0 for whatever is current.
+            evacuated: True to assign no new flows to its agents, False to end this.
+            revision: Revision that is expected to be current; 0 skips the check.
             change_id: Id of the change; empty for a new one.
 
         Returns:
@@ -356,13 +361,14 @@
         )
 
     def find_change(self, change_id: str) -> FoundChange | None:
-        """Looks for a change among the latest that took effect.
+        """Finds a change among the latest that took effect.
 
         Args:
             change_id: Id of the change.
 
         Returns:
-            The change, or None; None is no proof that it never takes effect.
+            The change, or None if it is not found. None does not prove that it never
+            takes effect.
         """
         reply = self._read(
             self._stub.FindChange, pb.FindChangeRequest(change_id=change_id)
@@ -372,23 +378,23 @@
         return FoundChange(change_id, reply.service_id, reply.revision)
 
     def list_services(self, service_id: str = "") -> list[Service]:
-        """Lists the services in force on the balancer that answers.
+        """Lists the services in force on the balancer that replies.
 
         Args:
-            service_id: Only this service; empty for all.
+            service_id: Id of the only service to list; empty for all.
 
         Returns:
             The services ordered by id.
         """
         request = pb.ListServicesRequest(service_id=service_id)
         reply = self._read(self._stub.ListServices, request)
-        return [service_in_force(service) for service in reply.services]
+        return [service_from_reply(service) for service in reply.services]
 
     def get_status(self) -> StatusReport:
-        """Reads the state of the nodes.
+        """Reads the state of the system.
 
         Returns:
-            The state as the balancer that answers sees it.
+            The state in the view of the balancer that replies.
         """
         reply = self._read(self._stub.GetStatus, pb.GetStatusRequest())
         return StatusReport(
@@ -397,44 +403,49 @@
             configuration_revision=reply.configuration_revision,
             store_available=reply.store_available,
             services=reply.services,
-            members=tuple(member_from(node) for node in reply.nodes),
+            members=tuple(member_from_message(node) for node in reply.nodes),
         )
 
     def watch_services(self, *, after_revision: int = 0) -> Iterator[ServiceUpdate]:
-        """Waits for services and changes to come into force.
+        """Streams the services in force, then each update.
 
         Args:
-            after_revision: Updates up to this revision are left out.
+            after_revision: Updates up to this revision are omitted.
 
         Yields:
-            Each update; ends when the balancer stops.
+            Each update, until the balancer stops.
         """
         request = pb.WatchServicesRequest(after_revision=after_revision)
         call = self._stub.WatchServices(request, metadata=self._metadata)
         try:
             for event in call:
                 if not event.caught_up:
-                    yield ServiceUpdate(service_in_force(event.service), event.deleted)
+                    yield ServiceUpdate(
+                        service_from_reply(event.service), event.deleted
+                    )
         except grpc.RpcError as error:
-            raise _call_error(error, ErrorKind.PEER_UNREACHABLE) from error
+            raise _call_error_from(error, ErrorKind.PEER_UNREACHABLE) from error
         finally:
             call.cancel()
 
     def _change(
         self, method: Callable[..., Any], make_request: Callable[[], Any]
     ) -> AcceptedChange:
-        request = _made(make_request)
+        request = _build_request(make_request)
         self._check_reachable()
         try:
             reply = method(
                 request, timeout=self._settings.timeout, metadata=self._metadata
             )
         except grpc.RpcError as error:
-            # Sent, and no answer of the server came back: it may have taken effect.
-            raise _call_error(
+            # Unless the server replied with an error kind, the change was sent and may
+            # have taken effect.
+            raise _call_error_from(
                 error, ErrorKind.OUTCOME_UNKNOWN, request.change_id
             ) from error
-        service = service_in_force(reply.service) if reply.HasField("service") else None
+        service = (
+            service_from_reply(reply.service) if reply.HasField("service") else None
+        )
         return AcceptedChange(
             reply.change_id, reply.service_id, reply.revision, service
         )
@@ -446,38 +457,39 @@
         try:
             return method(request, timeout=timeout, metadata=self._metadata)
         except grpc.RpcError as error:
-            raise _call_error(error, ErrorKind.PEER_UNREACHABLE) from error
+            raise _call_error_from(error, ErrorKind.PEER_UNREACHABLE) from error
 
     def _check_reachable(self) -> None:
-        # Asked before each change, so that a balancer that is not there, or whose
-        # certificate is not trusted, is told apart from an answer that was lost.
-        request = pb.ListServicesRequest(service_id=NO_SERVICE_ID)
+        # Sent before each change, to distinguish an unreachable balancer or an
+        # untrusted certificate from a response that was lost.
+        request = pb.ListServicesRequest(service_id=NONEXISTENT_SERVICE_ID)
         self._read(
             self._stub.ListServices, request, timeout=self._settings.reach_timeout
         )
 
 
-def _made(make_request: Callable[[], Any]) -> Any:
+def _build_request(make_request: Callable[[], Any]) -> Any:
     try:
         request = make_request()
     except (TypeError, ValueError) as error:
-        # A number out of the range of the schema's type, or a value of another type.
+        # A number is out of the range of its type in the schema, or a value has the
+        # wrong type.
         raise OperatorsCallError(ErrorKind.INVALID_ARGUMENT, str(error)) from error
-    if request.ByteSize() > REQUEST_SIZE_MAXIMUM:
+    if request.ByteSize() > MAX_REQUEST_BYTES:
         raise OperatorsCallError(
             ErrorKind.TOO_LARGE, f"request of {request.ByteSize()} bytes"
         )
     return request
 
 
-def _call_error(
-    error: Any, kind_without_answer: ErrorKind, change_id: str = ""
+def _call_error_from(
+    error: Any, default_kind: ErrorKind, change_id: str = ""
 ) -> OperatorsCallError:
     trailing = dict(error.trailing_metadata() or ())
     try:
-        kind = ErrorKind(trailing.get(ERROR_KIND_KEY, kind_without_answer))
+        kind = ErrorKind(trailing.get(ERROR_KIND_KEY, default_kind))
     except ValueError:
-        kind = kind_without_answer
+        kind = default_kind
     revision = str(trailing.get(CURRENT_REVISION_KEY, "0"))
     return OperatorsCallError(
         kind,
--- a/src/siskinshift/api/conversion.py
+++ b/src/siskinshift/api/conversion.py
@@ -1,4 +1,4 @@
-"""Between the messages of the operators' API and the types of the system."""
+"""Converts between messages of the operators' API and internal types."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from siskinshift.configuration.store import AcceptedChange
 
 
-IMPORTANCE_DEFAULT = 100
+DEFAULT_IMPORTANCE = 100
 
 _MODES_BY_NUMBER = {
     pb.SERVICE_MODE_DATAGRAM: ServiceMode.DATAGRAM,
@@ -29,34 +29,34 @@
 _NUMBERS_BY_MODE = {mode: number for number, mode in _MODES_BY_NUMBER.items()}
 
 
-def service_from(message: Any) -> Service:
-    """Reads a service; values are checked when the change is made.
+def service_from_request(message: Any) -> Service:
+    """Converts a service in a request; the change validates the values later.
 
     Args:
         message: A pb.Service.
 
     Returns:
-        The service without what the server sets.
+        The service without the fields that the server sets.
 
     Raises:
-        InvalidChangeError: The mode is none of the known ones.
+        InvalidChangeError: The mode is unknown.
     """
     mode = _MODES_BY_NUMBER.get(message.mode)
     if mode is None:
         raise InvalidChangeError("mode: allowed are datagram and request")
     return Service(
         service_id=message.service_id,
-        addresses=tuple(_endpoint_from(a) for a in message.addresses),
+        addresses=tuple(_endpoint_from_message(a) for a in message.addresses),
         mode=mode,
         upstream_class=message.upstream_class,
-        groups=tuple(group_from(group) for group in message.groups),
-        importance=message.importance or IMPORTANCE_DEFAULT,
+        groups=tuple(group_from_message(group) for group in message.groups),
+        importance=message.importance or DEFAULT_IMPORTANCE,
         placement=tuple(message.placement),
     )
 
 
-def group_from(message: Any) -> Group:
-    """Reads a group; values are checked when the change is made.
+def group_from_message(message: Any) -> Group:
+    """Converts a group; the change validates the values later.
 
     Args:
         message: A pb.Group.
@@ -71,22 +71,23 @@
     )
 
 
-def service_in_force(message: Any) -> Service:
-    """Reads a service that a server sent.
+def service_from_reply(message: Any) -> Service:
+    """Converts a service that a server sent.
 
     Args:
         message: A pb.Service.
 
     Returns:
-        The service with all that the server sets.
+        The service with the fields that the server sets.
     """
     return Service(
         service_id=message.service_id,
-        addresses=tuple(_endpoint_from(a) for a in message.addresses),
-        # A newer server may know modes that this client does not; it only shows them.
+        addresses=tuple(_endpoint_from_message(a) for a in message.addresses),
+        # A newer server may send modes that this client does not have. The client only
+        # displays such a mode, and falls back to datagram.
         mode=_MODES_BY_NUMBER.get(message.mode, ServiceMode.DATAGRAM),
         upstream_class=message.upstream_class,
-        groups=tuple(group_from(group) for group in message.groups),
+        groups=tuple(group_from_message(group) for group in message.groups),
         importance=message.importance,
         placement=tuple(message.placement),
         drained=tuple(message.drained),
@@ -96,11 +97,11 @@
     )
 
 
-def service_message(service: Service) -> Any:
-    """Writes a service.
+def service_to_message(service: Service) -> Any:
+    """Converts a service to its message.
 
     Args:
-        service: The service; of a tombstone only what names it is written.
+        service: The service; for a tombstone only id, revision and change id are set.
 
     Returns:
         A pb.Service.
@@ -113,10 +114,10 @@
         )
     return pb.Service(
         service_id=service.service_id,
-        addresses=[_endpoint_message(address) for address in service.addresses],
+        addresses=[_endpoint_to_message(address) for address in service.addresses],
         mode=_NUMBERS_BY_MODE[service.mode],
         upstream_class=service.upstream_class,
-        groups=[group_message(group) for group in service.groups],
+        groups=[group_to_message(group) for group in service.groups],
         importance=service.importance,
         placement=service.placement,
         drained=service.drained,
@@ -126,8 +127,8 @@
     )
 
 
-def group_message(group: Group) -> Any:
-    """Writes a group.
+def group_to_message(group: Group) -> Any:
+    """Converts a group to its message.
 
     Args:
         group: The group.
@@ -142,11 +143,11 @@
     )
 
 
-def change_message(accepted: AcceptedChange) -> Any:
-    """Writes the answer to a change.
+def accepted_change_to_message(accepted: AcceptedChange) -> Any:
+    """Converts an accepted change to the reply.
 
     Args:
-        accepted: The change.
+        accepted: The accepted change.
 
     Returns:
         A pb.ChangeReply.
@@ -156,12 +157,12 @@
         change_id=accepted.change_id,
         service_id=accepted.service_id,
         revision=accepted.revision,
-        service=service_message(service) if service is not None else None,
+        service=service_to_message(service) if service is not None else None,
     )
 
 
-def node_message(member: Member) -> Any:
-    """Writes a node.
+def member_to_message(member: Member) -> Any:
+    """Converts a member to its message.
 
     Args:
         member: The member.
@@ -180,14 +181,14 @@
         slots=member.slots,
         incarnation=member.incarnation,
         version=member.version,
-        control=_endpoint_message(member.control),
-        data=_endpoint_message(member.data),
+        control=_endpoint_to_message(member.control),
+        data=_endpoint_to_message(member.data),
         entry_slot=member.entry_slot,
     )
 
 
-def member_from(message: Any) -> Member:
-    """Reads a node.
+def member_from_message(message: Any) -> Member:
+    """Converts the message of a node.
 
     Args:
         message: A pb.Node.
@@ -203,8 +204,8 @@
         state=MemberState(message.state),
         region=message.region,
         failure_domain=message.failure_domain,
-        control=_endpoint_from(message.control),
-        data=_endpoint_from(message.data),
+        control=_endpoint_from_message(message.control),
+        data=_endpoint_from_message(message.data),
         upstream_class=message.upstream_class,
         weight=message.weight,
         slots=message.slots,
@@ -212,9 +213,9 @@
     )
 
 
-def _endpoint_from(message: Any) -> Endpoint:
+def _endpoint_from_message(message: Any) -> Endpoint:
     return Endpoint(host=message.host, port=message.port)
 
 
-def _endpoint_message(endpoint: Endpoint) -> Any:
+def _endpoint_to_message(endpoint: Endpoint) -> Any:
     return pb.Endpoint(host=endpoint.host, port=endpoint.port)
--- a/src/siskinshift/api/exceptions.py
+++ b/src/siskinshift/api/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' API."""
+"""Exceptions of the operators' API."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 
 
 class UnauthenticatedError(SiskinshiftError):
-    """The call carries no known token."""
+    """Raised when a call carries no configured token."""
 
     kind = ErrorKind.UNAUTHENTICATED
 
 
 class ForbiddenError(SiskinshiftError):
-    """The token may read but not change."""
+    """Raised when the token permits reads but the call makes a change."""
 
     kind = ErrorKind.FORBIDDEN
 
 
 class TooManyWatchersError(SiskinshiftError):
-    """As many watch calls as allowed are being served."""
+    """Raised when the maximum number of watch calls is being served."""
 
     kind = ErrorKind.OVERLOADED
 
 
 class OperatorsCallError(SiskinshiftError):
-    """A call of the client that did not succeed.
+    """Raised by the client when a call fails.
 
     Attributes:
-        change_id: Id of the change; empty when the call was none.
-        current_revision: Revision the service is at, after a revision conflict.
+        change_id: Id of the change; empty for a call that makes no change.
+        current_revision: Current revision of the service after a revision conflict,
+            else 0.
     """
 
     def __init__(
--- a/src/siskinshift/api/protocol.py
+++ b/src/siskinshift/api/protocol.py
@@ -1,4 +1,4 @@
-"""What client and server of the operators' API agree on besides the schema."""
+"""Metadata keys and limits of the operators' API that its schema does not define."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 ERROR_KIND_KEY = "siskinshift-error-kind"
 CURRENT_REVISION_KEY = "siskinshift-current-revision"
 
-# Well above the greatest record, so that one that is too large is refused by its kind
-# and not cut off by the library, which would leave the client with "unknown".
-REQUEST_SIZE_MAXIMUM = 2 << 20
+# Well above the largest record allowed, so that the server rejects an oversized record
+# with the kind "too_large". The gRPC library would abort a larger request without an
+# error kind, and the client would report the outcome as unknown.
+MAX_REQUEST_BYTES = 2 << 20
--- a/src/siskinshift/api/requests.py
+++ b/src/siskinshift/api/requests.py
@@ -1,4 +1,7 @@
-"""Registry: which change each request of the operators' API asks for."""
+"""Converts requests of the operators' API to changes.
+
+A registry maps each request type to the function that converts it.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,8 @@
 from typing import Any
 from typing import TypeAlias
 
-from siskinshift.api.conversion import group_from
-from siskinshift.api.conversion import service_from
+from siskinshift.api.conversion import group_from_message
+from siskinshift.api.conversion import service_from_request
 from siskinshift.api.generated import operators_pb2 as pb
 from siskinshift.configuration.changes import CreateService
 from siskinshift.configuration.changes import DeleteGroup
@@ -24,75 +27,75 @@
     from siskinshift.configuration.changes import Change
 
 
-Reader: TypeAlias = Callable[[Any], "Change"]
+ChangeReader: TypeAlias = Callable[[Any], "Change"]
 
-_readers_by_type: dict[type, Reader] = {}
+_readers_by_request_type: dict[type, ChangeReader] = {}
 
 
-def change_from(request: Any) -> Change:
-    """Reads the change that a request asks for.
+def change_from_request(request: Any) -> Change:
+    """Converts a request to the change that it requests.
 
     Args:
-        request: A request message.
+        request: Request message of a call that makes a change.
 
     Returns:
         The change.
 
     Raises:
-        InvalidChangeError: A value can't be read.
+        InvalidChangeError: A value of the request can't be converted.
     """
-    return _readers_by_type[type(request)](request)
+    return _readers_by_request_type[type(request)](request)
 
 
-def _reads(request_type: Any) -> Callable[[Reader], Reader]:
-    def register(reader: Reader) -> Reader:
-        _readers_by_type[request_type] = reader
+def _register_reader(request_type: Any) -> Callable[[ChangeReader], ChangeReader]:
+    def register(reader: ChangeReader) -> ChangeReader:
+        _readers_by_request_type[request_type] = reader
         return reader
 
     return register
 
 
-@_reads(pb.CreateServiceRequest)
+@_register_reader(pb.CreateServiceRequest)
 def _create(request: Any) -> Change:
-    return CreateService(service_from(request.service))
+    return CreateService(service_from_request(request.service))
 
 
-@_reads(pb.ReplaceServiceRequest)
+@_register_reader(pb.ReplaceServiceRequest)
 def _replace(request: Any) -> Change:
-    return ReplaceService(service_from(request.service), request.revision)
+    return ReplaceService(service_from_request(request.service), request.revision)
 
 
-@_reads(pb.DeleteServiceRequest)
+@_register_reader(pb.DeleteServiceRequest)
 def _delete(request: Any) -> Change:
     return DeleteService(request.service_id, request.revision)
 
 
-@_reads(pb.PutGroupRequest)
+@_register_reader(pb.PutGroupRequest)
 def _put_group(request: Any) -> Change:
-    group = group_from(request.group)
+    group = group_from_message(request.group)
     return PutGroup(request.service_id, group, request.revision)
 
 
-@_reads(pb.DeleteGroupRequest)
+@_register_reader(pb.DeleteGroupRequest)
 def _delete_group(request: Any) -> Change:
     return DeleteGroup(request.service_id, request.group_id, request.revision)
 
 
-@_reads(pb.SetShareRequest)
+@_register_reader(pb.SetShareRequest)
 def _set_share(request: Any) -> Change:
     return SetShare(
         request.service_id, request.group_id, request.share, request.revision
     )
 
 
-@_reads(pb.SetDrainRequest)
+@_register_reader(pb.SetDrainRequest)
 def _set_drain(request: Any) -> Change:
     return SetDrain(
         request.service_id, request.member_id, request.drained, request.revision
     )
 
 
-@_reads(pb.SetEvacuationRequest)
+@_register_reader(pb.SetEvacuationRequest)
 def _set_evacuation(request: Any) -> Change:
     return SetEvacuation(
         request.service_id, request.failure_domain, request.evacuated, request.revision
--- a/src/siskinshift/api/server.py
+++ b/src/siskinshift/api/server.py
@@ -1,4 +1,7 @@
-"""gRPC server of the operators' API; imported only where the API is served."""
+"""gRPC server of the operators' API.
+
+Imported only when the API is enabled, because it loads the gRPC library.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 import grpc
 
 from siskinshift.api.generated.operators_pb2_grpc import add_OperatorsServicer_to_server
-from siskinshift.api.protocol import REQUEST_SIZE_MAXIMUM
+from siskinshift.api.protocol import MAX_REQUEST_BYTES
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.settings.exceptions import SettingsError
 
@@ -20,36 +23,37 @@
     from siskinshift.settings.generated import ApiSettings
 
 
-# Threads for calls that end by themselves; operators are few.
-CALL_THREADS = 8
+# Threads for all calls but watches; few operators use the API at once.
+UNARY_CALL_THREADS = 8
 STOP_GRACE_SECONDS = 2.0
 
 
 class OperatorsServer:
-    """Serves the API over TLS.
+    """Serves the operators' API over TLS.
 
     Attributes:
-        ports: Ports it listens on, in the order of the settings' endpoints.
+        ports: Ports that it listens on, in the order of the endpoints in the settings.
     """
 
     def __init__(self, settings: ApiSettings, service: OperatorsService) -> None:
-        """Binds the server.
+        """Creates the server and binds its endpoints.
 
         Args:
-            settings: Endpoints, certificate, tokens.
-            service: Answers the calls.
+            settings: Endpoints, certificate, key and tokens.
+            service: Handlers of the calls.
 
         Raises:
-            SettingsError: Certificate, key or tokens are missing, or an endpoint
-                can't be bound.
+            SettingsError: The certificate, the key or the tokens are missing, or an
+                endpoint can't be bound.
         """
         self._service = service
         self._executor = ThreadPoolExecutor(
-            CALL_THREADS + settings.watchers, thread_name_prefix="operators-api"
+            UNARY_CALL_THREADS + settings.watchers, thread_name_prefix="operators-api"
         )
         options = [
-            ("grpc.max_receive_message_length", REQUEST_SIZE_MAXIMUM),
-            # Two processes on one port would take turns at answering.
+            ("grpc.max_receive_message_length", MAX_REQUEST_BYTES),
+            # With SO_REUSEPORT, a second process could bind the same port, and
+            # connections would be distributed over both.
             ("grpc.so_reuseport", 0),
         ]
         credentials = _credentials(settings)
@@ -61,11 +65,11 @@
         ]
 
     def start(self) -> None:
-        """Starts to answer."""
+        """Starts serving calls."""
         self._server.start()
 
     def stop(self) -> None:
-        """Lets calls under way end, then stops."""
+        """Stops accepting calls and waits up to 2 s for those in progress."""
         self._service.stop()
         self._server.stop(STOP_GRACE_SECONDS).wait()
         self._executor.shutdown(wait=True)
