--- a/src/siskinshift/settings/__init__.py
+++ b/src/siskinshift/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Settings of a process, read from INI."""
+"""Settings of a process, loaded from an INI file."""
 
 from __future__ import annotations
--- a/src/siskinshift/settings/exceptions.py
+++ b/src/siskinshift/settings/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of settings files."""
+"""Exceptions of settings files."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class SettingsError(SiskinshiftError):
-    """A settings file that can't be used.
+    """Raised when a settings file is invalid or can't be read.
 
     Attributes:
-        problems: One line for each fault: file, section, key, value, what is allowed.
+        problems: One line for each problem: file, section, key, value, allowed values.
     """
 
     kind = ErrorKind.SETTINGS
--- a/src/siskinshift/settings/loader.py
+++ b/src/siskinshift/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads settings from INI text and checks each value against the schema."""
+"""Loads settings from INI text and validates each value against the schema."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
     from siskinshift.settings.options import Section
 
 
-SECRET_LENGTH_MINIMUM = 16
+MIN_SECRET_LENGTH = 16
 
 SectionT = TypeVar("SectionT")
 
 
 class SettingsLoader:
-    """Turns INI text into `Settings`, collecting every fault before it refuses."""
+    """Converts INI text to `Settings` and reports all invalid values together."""
 
     def __init__(self, *, source: str) -> None:
-        """Prepares a loader.
+        """Initializes the loader.
 
         Args:
-            source: Name of the file, for messages.
+            source: Name of the file in error messages.
         """
         self._source = source
         self._problems: list[str] = []
 
     def load(self, text: str) -> Settings:
-        """Reads the text.
+        """Loads all sections.
 
         Args:
             text: Content of an INI file.
 
         Returns:
-            The settings, checked.
+            The validated settings.
 
         Raises:
-            SettingsError: The text is no INI or a value is not allowed.
+            SettingsError: The text is not valid INI or a value is not allowed.
         """
         parser = self._parse(text)
         values: dict[str, Any] = {
@@ -60,18 +60,18 @@
         self._raise_problems()
         return Settings(**values)
 
-    def load_one(self, text: str, settings_class: type[SectionT]) -> SectionT:
-        """Reads one section; others are checked for unknown keys only.
+    def load_section_text(self, text: str, settings_class: type[SectionT]) -> SectionT:
+        """Loads one section; other sections are checked for unknown keys only.
 
         Args:
             text: Content of an INI file.
-            settings_class: Generated class of the section.
+            settings_class: Generated settings class of the section.
 
         Returns:
-            The section's settings, checked.
+            The validated settings of the section.
 
         Raises:
-            SettingsError: The text is no INI or a value is not allowed.
+            SettingsError: The text is not valid INI or a value is not allowed.
         """
         parser = self._parse(text)
         section = next(s for s in SECTIONS if s.settings_class is settings_class)
@@ -87,24 +87,24 @@
         except configparser.Error as error:
             problem = str(error).replace("\n", " ")
             raise SettingsError((f"{self._source}: {problem}",)) from error
-        self._refuse_unknown(parser)
+        self._check_unknown_names(parser)
         return parser
 
     def _raise_problems(self) -> None:
         if self._problems:
             raise SettingsError(tuple(self._problems))
 
-    def _refuse_unknown(self, parser: configparser.ConfigParser) -> None:
+    def _check_unknown_names(self, parser: configparser.ConfigParser) -> None:
         options_by_section = {s.name: {o.name for o in s.options} for s in SECTIONS}
         for section_name in parser.sections():
             known = options_by_section.get(section_name)
             if known is None:
-                instead = _instead(section_name, set(options_by_section))
-                self._fault(section_name, "", "", instead)
+                suggestion = _suggestion(section_name, set(options_by_section))
+                self._add_problem(section_name, "", "", suggestion)
                 continue
             for key in parser[section_name]:
                 if key not in known:
-                    self._fault(section_name, key, "", _instead(key, known))
+                    self._add_problem(section_name, key, "", _suggestion(key, known))
 
     def _load_section(
         self, parser: configparser.ConfigParser, section: Section
@@ -118,14 +118,14 @@
     def _load_option(self, section: str, option: Option, text: str | None) -> object:
         if text is None:
             if option.default is None:
-                self._fault(section, option.name, "", f"required; {option.doc}")
+                self._add_problem(section, option.name, "", f"required; {option.doc}")
                 return None
             text = str(option.default)
         try:
             return self._convert(option, text.strip())
         except ValueError as error:
             shown = "(secret)" if option.type.startswith("secret") else text
-            self._fault(section, option.name, shown, str(error))
+            self._add_problem(section, option.name, shown, str(error))
             return None
 
     def _convert(self, option: Option, text: str) -> object:
@@ -146,8 +146,8 @@
         return text
 
     def _convert_secret(self, text: str) -> Secret:
-        if text and len(text) < SECRET_LENGTH_MINIMUM:
-            raise ValueError(f"allowed: {SECRET_LENGTH_MINIMUM} characters or more")
+        if text and len(text) < MIN_SECRET_LENGTH:
+            raise ValueError(f"allowed: {MIN_SECRET_LENGTH} characters or more")
         return Secret(text)
 
     def _convert_number(self, option: Option, text: str) -> int | float:
@@ -156,33 +156,33 @@
             number: int | float = int(text) if option.type == "int" else float(text)
         except ValueError as error:
             raise ValueError(f"allowed: {option.type}, {allowed}") from error
-        low = option.minimum if option.minimum is not None else number
-        high = option.maximum if option.maximum is not None else number
-        if not low <= number <= high:
+        lowest = option.minimum if option.minimum is not None else number
+        highest = option.maximum if option.maximum is not None else number
+        if not lowest <= number <= highest:
             raise ValueError(f"allowed: {allowed}")
         return number
 
-    def _fault(self, section: str, key: str, value: str, allowed: str) -> None:
-        place = f"{self._source}: [{section}] {key}".rstrip()
+    def _add_problem(self, section: str, key: str, value: str, allowed: str) -> None:
+        location = f"{self._source}: [{section}] {key}".rstrip()
         shown = f" = {value!r}" if value else ""
-        self._problems.append(f"{place}{shown}: {allowed}")
+        self._problems.append(f"{location}{shown}: {allowed}")
 
 
-def _instead(name: str, known: set[str]) -> str:
-    close = difflib.get_close_matches(name, sorted(known), n=1)
-    if close:
-        return f"not known; write {close[0]!r} instead"
+def _suggestion(name: str, known: set[str]) -> str:
+    matches = difflib.get_close_matches(name, sorted(known), n=1)
+    if matches:
+        return f"not known; write {matches[0]!r} instead"
     return f"not known; allowed: {', '.join(sorted(known))}"
 
 
 def load_settings(path: Path) -> Settings:
-    """Reads a settings file.
+    """Loads a settings file.
 
     Args:
         path: The INI file.
 
     Returns:
-        The settings, checked.
+        The validated settings.
 
     Raises:
         SettingsError: The file can't be read or a value is not allowed.
@@ -191,20 +191,20 @@
 
 
 def load_section(path: Path, settings_class: type[SectionT]) -> SectionT:
-    """Reads one section of a settings file.
+    """Loads one section of a settings file.
 
     Args:
         path: The INI file.
-        settings_class: Generated class of the section.
+        settings_class: Generated settings class of the section.
 
     Returns:
-        The section's settings, checked.
+        The validated settings of the section.
 
     Raises:
         SettingsError: The file can't be read or a value is not allowed.
     """
     loader = SettingsLoader(source=str(path))
-    return loader.load_one(_read_text(path), settings_class)
+    return loader.load_section_text(_read_text(path), settings_class)
 
 
 def _read_text(path: Path) -> str:
--- a/src/siskinshift/settings/options.py
+++ b/src/siskinshift/settings/options.py
@@ -1,4 +1,4 @@
-"""Descriptions of settings: what the schema says of each key."""
+"""Descriptions of settings, as the schema defines them."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 @frozen
 class Secret:
-    """A value that is never printed.
+    """A value that is hidden when it is printed or logged.
 
     Attributes:
-        value: The secret itself.
+        value: The secret.
     """
 
     value: str = field(repr=False)
@@ -27,12 +27,12 @@
     Attributes:
         name: Key in the INI file.
         type: Type name of the schema, such as "int" or "endpoint".
-        doc: What the key means.
+        doc: Meaning of the key.
         default: Value when the key is absent; None when it is required.
         unit: Unit of the value, such as "seconds".
-        minimum: Least value allowed.
-        maximum: Greatest value allowed.
-        choices: Values allowed, for type "choice".
+        minimum: Smallest value allowed; None for no limit.
+        maximum: Largest value allowed; None for no limit.
+        choices: Allowed values, for type "choice".
     """
 
     name: str
@@ -51,10 +51,10 @@
 
     Attributes:
         name: Section name in the INI file.
-        doc: What the section is for.
+        doc: Purpose of the section.
         settings_class: Generated class that holds the values.
-        standalone: Whether it stands in a file of its own and not in `Settings`.
-        options: Keys of the section in their order.
+        standalone: Whether the section has its own file and is not part of `Settings`.
+        options: Keys of the section, in order.
     """
 
     name: str
--- a/src/siskinshift/settings/printer.py
+++ b/src/siskinshift/settings/printer.py
@@ -1,4 +1,4 @@
-"""Writes settings in force; secrets are never printed."""
+"""Formats the settings in force as INI or JSON, with secrets hidden."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 
 def print_settings(settings: Settings, *, output: str) -> str:
-    """Writes all values.
+    """Formats all sections but the standalone ones.
 
     Args:
         settings: The settings.
-        output: "json" for machines, else INI text that can be read again.
+        output: "json" for JSON, else INI text that the loader accepts, except for the
+            placeholders of secrets.
 
     Returns:
-        The text.
+        The formatted settings.
     """
     values_by_section = {
         section.name: {
-            option.name: _value_text(
+            option.name: _format_value(
                 getattr(getattr(settings, section.name), option.name)
             )
             for option in section.options
@@ -45,11 +46,11 @@
     return "\n".join(lines).rstrip()
 
 
-def _value_text(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, Secret):
         return str(value) if value.value else ""
     if isinstance(value, Endpoint):
         return format_endpoint(value)
     if isinstance(value, tuple):
-        return ", ".join(_value_text(part) for part in value)
+        return ", ".join(_format_value(part) for part in value)
     return str(value)
