--- a/src/siskinshift/objectives/__init__.py
+++ b/src/siskinshift/objectives/__init__.py
@@ -1,3 +1,3 @@
-"""Service-level objectives and how fast their budgets burn."""
+"""Service-level objectives and the burn rates of their error budgets."""
 
 from __future__ import annotations
--- a/src/siskinshift/objectives/burn.py
+++ b/src/siskinshift/objectives/burn.py
@@ -1,11 +1,11 @@
-"""How fast error budgets burn, over several windows at once.
-
-Load pattern: a short outage and a slow leak both use up a budget. A long window
-alone tells of an outage too late and goes on long after it has ended; a short
-window alone cries at each blip. So an alert needs a long and a short window
-over the same burn rate. The rates are the field's customary ones: 14.4 uses up
-2 % of a 30-day budget in an hour, 6 uses up 5 % in six hours, 1 uses it up as it
-is earned.
+"""Computes burn rates of error budgets and evaluates multi-window alerts.
+
+Both a short outage and a low but steady error rate consume a budget. A long window
+alone detects an outage late and keeps alerting long after its end; a short window
+alone alerts on every brief spike. An alert therefore requires that a long and a short
+window both reach its burn rate. The rates are the customary ones: 14.4 consumes 2 % of
+a 30-day budget in an hour, 6 consumes 5 % in six hours, 1 consumes the budget exactly
+over its period.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Urgency(StrEnum):
-    """What a burn rate asks of an operator."""
+    """Response that a burn rate requires from an operator."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -34,13 +34,13 @@
 
 @frozen
 class BurnRule:
-    """An alert over two windows.
+    """An alert on the burn rates of two windows.
 
     Attributes:
-        long_window: Shows that enough budget is used to matter.
-        short_window: Shows that it still goes on.
-        rate: Burn rate that both have to reach.
-        urgency: What the alert asks for.
+        long_window: Ensures that a significant part of the budget is consumed.
+        short_window: Ensures that the errors are still occurring.
+        rate: Burn rate that both windows must reach.
+        urgency: Urgency of the alert.
     """
 
     long_window: Window
@@ -58,16 +58,16 @@
 
 @frozen
 class BurnResult:
-    """Burn of one objective of one series.
+    """Burn rates of one series of an objective.
 
     Attributes:
-        target: Part of events that should be good.
-        counts_by_window: Counts by the window's name.
-        rates_by_window: Burn rates by the window's name; 1 uses the budget as it
-            is earned, 0 uses none.
-        budget_left: Part of the longest window's budget that is left; negative when
-            it is overdrawn.
-        urgency: What the rates ask for.
+        target: Fraction of events that should be good.
+        counts_by_window: Counts by window name.
+        rates_by_window: Burn rates by window name; 1 consumes the budget exactly over
+            its period, 0 consumes none.
+        budget_left: Fraction of the budget of the longest window that remains;
+            negative when the budget is exceeded.
+        urgency: Urgency of the first rule that matches.
     """
 
     target: float
@@ -78,14 +78,14 @@
 
 
 def burn_rate(counts: EventCounts, *, target: float) -> float:
-    """Computes how many times faster than earned a budget is used.
+    """Computes how fast a budget is consumed; 1 consumes it exactly over its period.
 
     Args:
         counts: Events of a window.
-        target: Part of events that should be good, below 1.
+        target: Fraction of events that should be good, below 1.
 
     Returns:
-        The rate; 0 when there were no events.
+        The burn rate; 0 when there were no events.
     """
     events = counts.good + counts.bad
     if events == 0:
@@ -96,11 +96,11 @@
 def evaluate_burn(
     counts_by_window: Mapping[str, EventCounts], *, target: float
 ) -> BurnResult:
-    """Evaluates all rules.
+    """Evaluates the alert rules.
 
     Args:
         counts_by_window: Counts by window name; a missing window has no events.
-        target: Part of events that should be good, below 1.
+        target: Fraction of events that should be good, below 1.
 
     Returns:
         The result.
--- a/src/siskinshift/objectives/recorder.py
+++ b/src/siskinshift/objectives/recorder.py
@@ -1,4 +1,4 @@
-"""Records what a process saw of its service-level objectives."""
+"""Records the events of a process that count towards service-level objectives."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     from siskinshift.settings.generated import ObjectivesSettings
 
 
-# Groups are configured, but a record may name many; a bound keeps memory in hand.
-SERIES_MAXIMUM = 512
+# Bounds the memory: a service record may name many groups.
+MAX_SERIES = 512
 OTHER_GROUPS = "(other)"
 
 
 class ObjectiveKind(StrEnum):
-    """What the users measure."""
+    """Kind of a recorded series, as exported in metrics."""
 
     UNBROKEN_FLOWS = "unbroken_flows"
     ANSWERED_IN_TIME = "answered_in_time"
@@ -36,12 +36,12 @@
 
 @frozen
 class SeriesKey:
-    """Names one series of counts.
+    """Identifies one series of counts.
 
     Attributes:
-        kind: What is counted.
-        service_id: Service it belongs to.
-        group_id: Group it belongs to; empty when it has none.
+        kind: Quantity that is counted.
+        service_id: Service that the series belongs to.
+        group_id: Group that the series belongs to; empty if it has none.
     """
 
     kind: ObjectiveKind
@@ -67,8 +67,8 @@
 class ObjectiveRecorder:
     """Counts flows, requests and slot time; safe to share between threads.
 
-    Refusals count against "answered in time": the caller did not get an answer.
-    A caller's own cancel counts neither way.
+    A rejected request counts as bad for `ANSWERED_IN_TIME`, since its caller received
+    no response. A request that its caller cancelled counts neither as good nor as bad.
     """
 
     def __init__(self, settings: ObjectivesSettings) -> None:
@@ -77,11 +77,11 @@
         self._counts_by_key: dict[SeriesKey, WindowedCounts] = {}
 
     def flow_ended(self, service_id: str, *, broken: bool, now: float) -> None:
-        """Counts the end of a flow.
+        """Records the end of a flow.
 
         Args:
             service_id: Service of the flow.
-            broken: Whether it was cut before its caller ended it.
+            broken: Whether it ended before its caller closed it.
             now: Clock reading, seconds.
         """
         key = SeriesKey(ObjectiveKind.UNBROKEN_FLOWS, service_id)
@@ -96,13 +96,13 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Counts the end of a request.
+        """Records the end of a request.
 
         Args:
             service_id: Service of the request.
             group_id: Group of the request.
-            outcome: What became of it.
-            seconds: Time from arrival to the last byte of the answer.
+            outcome: Outcome of the request.
+            seconds: Time from arrival to the last byte of the response.
             now: Clock reading, seconds.
         """
         in_time = seconds <= self._settings.time_limit
@@ -111,10 +111,10 @@
         self._add(key, is_good=is_good, now=now)
 
     def slot_used(self, service_id: str, *, seconds: float, now: float) -> None:
-        """Counts work done in the upstream's slots.
+        """Records the busy time of the upstream's slots.
 
         Args:
-            service_id: Service the work was for.
+            service_id: Service of the request.
             seconds: Busy seconds of one slot.
             now: Clock reading, seconds.
         """
@@ -123,7 +123,7 @@
             self._series(key).add(good=seconds, now=now)
 
     def samples(self, *, now: float) -> Iterator[SeriesSample]:
-        """Lists all series over all windows.
+        """Yields the counts of all series over all windows.
 
         Args:
             now: Clock reading, seconds.
@@ -144,9 +144,9 @@
             self._series(key).add(good=is_good, bad=not is_good, now=now)
 
     def _series(self, key: SeriesKey) -> WindowedCounts:
-        known = self._counts_by_key.get(key)
-        if known is not None:
-            return known
-        if len(self._counts_by_key) >= SERIES_MAXIMUM:
+        existing = self._counts_by_key.get(key)
+        if existing is not None:
+            return existing
+        if len(self._counts_by_key) >= MAX_SERIES:
             key = SeriesKey(key.kind, key.service_id, OTHER_GROUPS)
         return self._counts_by_key.setdefault(key, WindowedCounts())
--- a/src/siskinshift/objectives/windows.py
+++ b/src/siskinshift/objectives/windows.py
@@ -9,17 +9,17 @@
 
 MINUTE_SECONDS = 60.0
 HOUR_SECONDS = 3600.0
-MINUTES_KEPT = 6 * 60
-HOURS_KEPT = 3 * 24
+RETAINED_MINUTES = 6 * 60
+RETAINED_HOURS = 3 * 24
 
 
 @frozen
 class Window:
-    """A span that ends now.
+    """A time window that ends now.
 
     Attributes:
         name: Short name, such as "5m".
-        seconds: Length of the span.
+        seconds: Length of the window.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 @frozen
 class EventCounts:
-    """Events of one objective.
+    """Counts of good and bad events of one objective.
 
     Attributes:
         good: Events that meet the objective.
@@ -47,10 +47,10 @@
     bad: float
 
     def plus(self, other: EventCounts) -> EventCounts:
-        """Adds counts of another process.
+        """Adds the counts of another process.
 
         Args:
-            other: Its counts.
+            other: Counts of the other process.
 
         Returns:
             The sum.
@@ -58,15 +58,15 @@
         return EventCounts(self.good + other.good, self.bad + other.bad)
 
 
-class _Ring:
-    """Sums for each of the last spans of equal length."""
+class _RingBuffer:
+    """Ring buffer of the counts of the last intervals of equal length."""
 
-    def __init__(self, *, span: float, size: int) -> None:
-        self._span = span
+    def __init__(self, *, interval_seconds: float, size: int) -> None:
+        self._interval_seconds = interval_seconds
         self._size = size
         self._good = array("d", [0.0]) * size
         self._bad = array("d", [0.0]) * size
-        self._newest: int | None = None
+        self._newest_interval: int | None = None
 
     def add(self, good: float, bad: float, now: float) -> None:
         index = self._advance(now) % self._size
@@ -74,35 +74,37 @@
         self._bad[index] += bad
 
     def totals(self, seconds: float, now: float) -> EventCounts:
-        newest = self._advance(now)
-        spans = min(self._size, max(1, round(seconds / self._span)))
-        indexes = [(newest - back) % self._size for back in range(spans)]
+        newest_interval = self._advance(now)
+        count = min(self._size, max(1, round(seconds / self._interval_seconds)))
+        indexes = [(newest_interval - age) % self._size for age in range(count)]
         good = sum(self._good[index] for index in indexes)
         bad = sum(self._bad[index] for index in indexes)
         return EventCounts(good, bad)
 
     def _advance(self, now: float) -> int:
-        number = int(now // self._span)
-        if self._newest is None:
-            self._newest = number
-        steps = min(self._size, max(0, number - self._newest))
+        interval = int(now // self._interval_seconds)
+        if self._newest_interval is None:
+            self._newest_interval = interval
+        steps = min(self._size, max(0, interval - self._newest_interval))
         for step in range(1, steps + 1):
-            index = (number - steps + step) % self._size
+            index = (interval - steps + step) % self._size
             self._good[index] = 0.0
             self._bad[index] = 0.0
-        self._newest = max(self._newest, number)
-        return self._newest
+        self._newest_interval = max(self._newest_interval, interval)
+        return self._newest_interval
 
 
 class WindowedCounts:
-    """Counts one objective; about 7 KB whatever the rate of events."""
+    """Counts the events of one objective, in about 7 KB at any event rate."""
 
     def __init__(self) -> None:
-        self._minutes = _Ring(span=MINUTE_SECONDS, size=MINUTES_KEPT)
-        self._hours = _Ring(span=HOUR_SECONDS, size=HOURS_KEPT)
+        self._minutes = _RingBuffer(
+            interval_seconds=MINUTE_SECONDS, size=RETAINED_MINUTES
+        )
+        self._hours = _RingBuffer(interval_seconds=HOUR_SECONDS, size=RETAINED_HOURS)
 
     def add(self, *, good: float = 0.0, bad: float = 0.0, now: float) -> None:
-        """Counts events.
+        """Adds events to the current interval.
 
         Args:
             good: Events that meet the objective.
@@ -113,15 +115,15 @@
         self._hours.add(good, bad, now)
 
     def totals(self, window: Window, *, now: float) -> EventCounts:
-        """Sums a window; exact to one minute, or to one hour beyond six hours.
+        """Sums the events of a window, in steps of one minute, or one hour above 6 h.
 
         Args:
             window: The window.
             now: Clock reading, seconds.
 
         Returns:
-            Its counts.
+            The counts of the window.
         """
-        if window.seconds <= MINUTES_KEPT * MINUTE_SECONDS:
+        if window.seconds <= RETAINED_MINUTES * MINUTE_SECONDS:
             return self._minutes.totals(window.seconds, now)
         return self._hours.totals(window.seconds, now)
