--- a/src/siskinshift/console/commands/check.py
+++ b/src/siskinshift/console/commands/check.py
@@ -29,6 +29,6 @@
         loaded = load_node_settings(Path(settings))
         return "\n".join(f"{k} = {v}" for k, v in attrs.asdict(loaded).items())
     from siskinshift.settings.loader import load_settings
-    from siskinshift.settings.printer import print_settings
+    from siskinshift.settings.printer import format_settings
 
-    return print_settings(load_settings(Path(settings)), output=output)
+    return format_settings(load_settings(Path(settings)), output=output)
--- a/src/siskinshift/settings/printer.py
+++ b/src/siskinshift/settings/printer.py
@@ -16,7 +16,7 @@
     from siskinshift.settings.generated import Settings
 
 
-def print_settings(settings: Settings, *, output: str) -> str:
+def format_settings(settings: Settings, *, output: str) -> str:
     """Formats all sections but the standalone ones.
 
     Args:
