--- a/src/siskinshift/objectives/burn.py
+++ b/src/siskinshift/objectives/burn.py
@@ -49,7 +49,7 @@
     urgency: Urgency
 
 
-RULES = (
+BURN_RULES = (
     BurnRule(HOUR, FIVE_MINUTES, 14.4, Urgency.PAGE),
     BurnRule(SIX_HOURS, HALF_HOUR, 6.0, Urgency.PAGE),
     BurnRule(THREE_DAYS, SIX_HOURS, 1.0, Urgency.TICKET),
@@ -119,7 +119,7 @@
 
 
 def _urgency(rates_by_window: Mapping[str, float]) -> Urgency:
-    for rule in RULES:
+    for rule in BURN_RULES:
         long_rate = rates_by_window.get(rule.long_window.name, 0.0)
         short_rate = rates_by_window.get(rule.short_window.name, 0.0)
         if min(long_rate, short_rate) >= rule.rate:
--- a/src/siskinshift/report/renderers.py
+++ b/src/siskinshift/report/renderers.py
@@ -9,7 +9,7 @@
 import orjson
 from attrs import asdict
 
-from siskinshift.objectives.burn import RULES
+from siskinshift.objectives.burn import BURN_RULES
 from siskinshift.objectives.windows import WINDOWS
 from siskinshift.report.burn_report import BurnReport
 from siskinshift.report.burn_report import BurnRow
@@ -23,7 +23,7 @@
 LABEL_WIDTH = 240
 # Burn rates up to this one fit the plot; the fastest alert is at 14.4.
 PLOT_RATE_MAXIMUM = 20.0
-PAGE_RATE = max(rule.rate for rule in RULES)
+PAGE_RATE = max(rule.rate for rule in BURN_RULES)
 
 _renderers_by_name: dict[str, Renderer] = {}
 
