--- a/src/siskinshift/api/client.py
+++ b/src/siskinshift/api/client.py
@@ -55,7 +55,7 @@
     Attributes:
         endpoint: API endpoint of a balancer.
         token: Bearer token.
-        authority: Certificates in PEM that verify the server's certificate.
+        ca_certificates: Certificates in PEM that verify the server's certificate.
         server_name: Name in the server's certificate; empty for the endpoint's host.
         timeout: Timeout of a call, seconds.
         reach_timeout: Timeout of the reachability check before a change, seconds.
@@ -63,7 +63,7 @@
 
     endpoint: Endpoint
     token: Secret
-    authority: bytes
+    ca_certificates: bytes
     server_name: str = ""
     timeout: float = CALL_TIMEOUT_SECONDS
     reach_timeout: float = REACHABILITY_TIMEOUT_SECONDS
@@ -139,7 +139,7 @@
             options.append(
                 ("grpc.ssl_target_name_override", settings.server_name),
             )
-        credentials = grpc.ssl_channel_credentials(settings.authority)
+        credentials = grpc.ssl_channel_credentials(settings.ca_certificates)
         self._channel: Any = grpc.secure_channel(
             format_endpoint(settings.endpoint), credentials, options=options
         )
--- a/src/siskinshift/console/operators.py
+++ b/src/siskinshift/console/operators.py
@@ -54,7 +54,7 @@
         ClientSettings(
             endpoint=section.endpoint,
             token=section.token,
-            authority=_read_authority(section.authority_file),
+            ca_certificates=_read_authority(section.authority_file),
             server_name=section.server_name,
             timeout=section.timeout,
             reach_timeout=section.reach_timeout,
