--- a/src/siskinshift/objectives/recorder.py
+++ b/src/siskinshift/objectives/recorder.py
@@ -76,7 +76,7 @@
         self._lock = threading.Lock()
         self._counts_by_key: dict[SeriesKey, WindowedCounts] = {}
 
-    def flow_ended(self, service_id: str, *, broken: bool, now: float) -> None:
+    def record_flow(self, service_id: str, *, broken: bool, now: float) -> None:
         """Records the end of a flow.
 
         Args:
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -88,4 +88,4 @@
             broken: Whether it was cut before its caller ended it.
         """
         self.counters.add("flows.broken" if broken else "flows.ended")
-        self.objectives.flow_ended(service_id, broken=broken, now=self._clock())
+        self.objectives.record_flow(service_id, broken=broken, now=self._clock())
