--- a/src/siskinshift/objectives/recorder.py
+++ b/src/siskinshift/objectives/recorder.py
@@ -87,7 +87,7 @@
         key = SeriesKey(ObjectiveKind.UNBROKEN_FLOWS, service_id)
         self._add(key, is_good=not broken, now=now)
 
-    def request_ended(
+    def record_request(
         self,
         service_id: str,
         group_id: str,
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -59,7 +59,7 @@
         if outcome is OutcomeKind.ANSWERED:
             self.counters.add("requests.answered")
         self._metrics.request_ended(request.service_id, request.group_id, seconds)
-        self.objectives.request_ended(
+        self.objectives.record_request(
             request.service_id,
             request.group_id,
             outcome=outcome,
