--- a/src/siskinshift/objectives/recorder.py
+++ b/src/siskinshift/objectives/recorder.py
@@ -110,7 +110,7 @@
         key = SeriesKey(ObjectiveKind.ANSWERED_IN_TIME, service_id, group_id)
         self._add(key, is_good=is_good, now=now)
 
-    def slot_used(self, service_id: str, *, seconds: float, now: float) -> None:
+    def record_slot_time(self, service_id: str, *, seconds: float, now: float) -> None:
         """Records the busy time of the upstream's slots.
 
         Args:
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -76,7 +76,7 @@
         """
         # Work is compared between upstreams by the slot: one with more slots is
         # meant to do more.
-        self.objectives.slot_used(
+        self.objectives.record_slot_time(
             service_id, seconds=seconds / self._slots, now=self._clock()
         )
 
