--- a/src/siskinshift/api/client.py
+++ b/src/siskinshift/api/client.py
@@ -438,8 +438,7 @@
                 request, timeout=self._settings.timeout, metadata=self._metadata
             )
         except grpc.RpcError as error:
-            # Unless the server replied with an error kind, the change was sent and may
-            # have taken effect.
+            # Without an error kind from the server, the change may have taken effect.
             raise _call_error_from(
                 error, ErrorKind.OUTCOME_UNKNOWN, request.change_id
             ) from error
--- a/src/siskinshift/api/server.py
+++ b/src/siskinshift/api/server.py
@@ -69,7 +69,7 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Stops accepting calls and waits up to 2 s for those in progress."""
+        """Stops accepting calls and ends those in progress after a grace period."""
         self._service.stop()
         self._server.stop(STOP_GRACE_SECONDS).wait()
         self._executor.shutdown(wait=True)
@@ -90,11 +90,11 @@
     return grpc.ssl_server_credentials([(key, certificate)])
 
 
-def _read_file(option: str, name: str) -> bytes:
-    if not name:
+def _read_file(option: str, path: str) -> bytes:
+    if not path:
         raise SettingsError((f"[api] {option}: required with endpoints",))
     try:
-        return Path(name).read_bytes()
+        return Path(path).read_bytes()
     except OSError as error:
-        problem = f"[api] {option} = {name!r}: can't be read: {error.strerror}"
+        problem = f"[api] {option} = {path!r}: can't be read: {error.strerror}"
         raise SettingsError((problem,)) from error
--- a/src/siskinshift/settings/loader.py
+++ b/src/siskinshift/settings/loader.py
@@ -53,14 +53,14 @@
         """
         parser = self._parse(text)
         values: dict[str, Any] = {
-            section.name: self._load_section(parser, section)
+            section.name: self._convert_section(parser, section)
             for section in SECTIONS
             if not section.standalone
         }
         self._raise_problems()
         return Settings(**values)
 
-    def load_section_text(self, text: str, settings_class: type[SectionT]) -> SectionT:
+    def load_section(self, text: str, settings_class: type[SectionT]) -> SectionT:
         """Loads one section; other sections are checked for unknown keys only.
 
         Args:
@@ -75,7 +75,7 @@
         """
         parser = self._parse(text)
         section = next(s for s in SECTIONS if s.settings_class is settings_class)
-        values = self._load_section(parser, section)
+        values = self._convert_section(parser, section)
         self._raise_problems()
         assert isinstance(values, settings_class)
         return values
@@ -106,16 +106,16 @@
                 if key not in known:
                     self._add_problem(section_name, key, "", _suggestion(key, known))
 
-    def _load_section(
+    def _convert_section(
         self, parser: configparser.ConfigParser, section: Section
     ) -> object:
         values: dict[str, object] = {}
         for option in section.options:
             text = parser.get(section.name, option.name, fallback=None)
-            values[option.name] = self._load_option(section.name, option, text)
+            values[option.name] = self._convert_option(section.name, option, text)
         return section.settings_class(**values)
 
-    def _load_option(self, section: str, option: Option, text: str | None) -> object:
+    def _convert_option(self, section: str, option: Option, text: str | None) -> object:
         if text is None:
             if option.default is None:
                 self._add_problem(section, option.name, "", f"required; {option.doc}")
@@ -204,7 +204,7 @@
         SettingsError: The file can't be read or a value is not allowed.
     """
     loader = SettingsLoader(source=str(path))
-    return loader.load_section_text(_read_text(path), settings_class)
+    return loader.load_section(_read_text(path), settings_class)
 
 
 def _read_text(path: Path) -> str:
