--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -59,7 +59,7 @@
         if outcome is OutcomeKind.ANSWERED:
             self.counters.add("requests.answered")
         self._metrics.request_ended(request.service_id, request.group_id, seconds)
-        self.objectives.request_ended(
+        self.objectives.record_request(
             request.service_id,
             request.group_id,
             outcome=outcome,
@@ -76,7 +76,7 @@
         """
         # Work is compared between upstreams by the slot: one with more slots is
         # meant to do more.
-        self.objectives.slot_used(
+        self.objectives.record_slot_time(
             service_id, seconds=seconds / self._slots, now=self._clock()
         )
 
@@ -88,4 +88,4 @@
             broken: Whether it was cut before its caller ended it.
         """
         self.counters.add("flows.broken" if broken else "flows.ended")
-        self.objectives.flow_ended(service_id, broken=broken, now=self._clock())
+        self.objectives.record_flow(service_id, broken=broken, now=self._clock())
