--- a/src/siskinshift/api/service.py
+++ b/src/siskinshift/api/service.py
@@ -25,7 +25,7 @@
 from siskinshift.configuration.exceptions import RevisionConflictError
 from siskinshift.core.errors import ANSWERS_BY_KIND
 from siskinshift.exceptions import SiskinshiftError
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     from siskinshift.settings.generated import Settings
 
 
-_log = PartLog("operators-api")
+_log = ComponentLog("operators-api")
 
 # How soon a watch call notices that its client went away.
 WATCH_TICK_SECONDS = 0.5
--- a/src/siskinshift/configuration/reader.py
+++ b/src/siskinshift/configuration/reader.py
@@ -28,7 +28,7 @@
 from siskinshift.kv.port import Compare
 from siskinshift.kv.port import Put
 from siskinshift.messages.configuration import EntrySlotHolder
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     from siskinshift.settings.generated import KvSettings
 
 
-_log = PartLog("configuration")
+_log = ComponentLog("configuration")
 
 ENTRY_PREFIX = "siskinshift/entry/"
 TICK_SECONDS = 0.1
--- a/src/siskinshift/observability/logs.py
+++ b/src/siskinshift/observability/logs.py
@@ -56,7 +56,7 @@
         eliot.add_destinations(_switch.destination)
 
 
-class PartLog:
+class ComponentLog:
     """Logs of one part of the system; safe to share between threads."""
 
     def __init__(self, part: str, *, clock: Clock = monotonic_clock) -> None:
--- a/src/siskinshift/runtime/datagrams.py
+++ b/src/siskinshift/runtime/datagrams.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.messages.core import Endpoint
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 RECEIVE_BUFFER_BYTES = 4 << 20
 POLL_SECONDS = 0.2
 
-_log = PartLog("datagrams")
+_log = ComponentLog("datagrams")
 
 
 class DatagramSocket:
--- a/src/siskinshift/runtime/drops.py
+++ b/src/siskinshift/runtime/drops.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
             counters: Counters of the process.
         """
         self._counters = counters
-        self._log = PartLog(part)
+        self._log = ComponentLog(part)
 
     def dropped(self, error: ErrorKind, **fields: str | int) -> None:
         """Records a dropped datagram.
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
         self.stopping = threading.Event()
         self.is_abandoned = False
         self._clean_ups = ExitStack()
-        self._log = PartLog("runtime")
+        self._log = ComponentLog("runtime")
         self.executor = ThreadPoolExecutor(
             max_workers=THREADS_MAXIMUM, thread_name_prefix=name
         )
