--- a/src/siskinshift/bench/telemetry.py
+++ b/src/siskinshift/bench/telemetry.py
@@ -25,7 +25,7 @@
 from siskinshift.demo.deployment import free_endpoint
 from siskinshift.messages.core import Endpoint
 from siskinshift.messages.core import ServiceMode
-from siskinshift.observability.logs import open_logs
+from siskinshift.observability.logs import configure_logs
 from siskinshift.settings.generated import LogsSettings
 
 
@@ -128,7 +128,7 @@
         scraper.ending.set()
         if thread.is_alive():
             thread.join()
-        open_logs(LogsSettings(level="off"))
+        configure_logs(LogsSettings(level="off"))
         metered.stop()
         plain.stop()
     off = statistics.median(costs[False])
@@ -140,7 +140,7 @@
 def _round(
     callers: Callers, scraper: _Scraper, plain: Deployment, is_on: bool
 ) -> tuple[float, float]:
-    open_logs(LogsSettings(level="info" if is_on else "off"), io.StringIO())
+    configure_logs(LogsSettings(level="info" if is_on else "off"), io.StringIO())
     if is_on:
         scraper.is_on.set()
     before = time.process_time()
--- a/src/siskinshift/console/commands/agent.py
+++ b/src/siskinshift/console/commands/agent.py
@@ -17,9 +17,9 @@
     """
     # Imported here so that other commands don't pay for it.
     from siskinshift.agent.application import AgentApplication
-    from siskinshift.observability.logs import open_logs
+    from siskinshift.observability.logs import configure_logs
     from siskinshift.settings.loader import load_settings
 
     loaded = load_settings(Path(settings))
-    open_logs(loaded.logs)
+    configure_logs(loaded.logs)
     run_until_signal(AgentApplication(loaded))
--- a/src/siskinshift/console/commands/balancer.py
+++ b/src/siskinshift/console/commands/balancer.py
@@ -17,9 +17,9 @@
     """
     # Imported here so that other commands don't pay for it.
     from siskinshift.balancer.application import BalancerApplication
-    from siskinshift.observability.logs import open_logs
+    from siskinshift.observability.logs import configure_logs
     from siskinshift.settings.loader import load_settings
 
     loaded = load_settings(Path(settings))
-    open_logs(loaded.logs)
+    configure_logs(loaded.logs)
     run_until_signal(BalancerApplication(loaded))
--- a/src/siskinshift/observability/logs.py
+++ b/src/siskinshift/observability/logs.py
@@ -36,7 +36,7 @@
 _switch = _LogSwitch()
 
 
-def open_logs(settings: LogsSettings, stream: TextIO | None = None) -> None:
+def configure_logs(settings: LogsSettings, stream: TextIO | None = None) -> None:
     """Sends logs as one JSON object a line; a later call replaces an earlier one.
 
     Args:
