--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -136,16 +136,16 @@
         self._life.drain(now=monotonic_clock())
         self._runner.refuse_peer_requests()
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Drains and waits until nothing would be cut, or the time allowed is over.
 
         Args:
-            at_once: Ends the wait when set.
+            stop_now: Ends the wait when set.
         """
         self.drain()
         until = monotonic_clock() + self.settings.agent.drain_timeout
         while not self._has_left() and monotonic_clock() < until:
-            if at_once.wait(TICK_SECONDS):
+            if stop_now.wait(TICK_SECONDS):
                 return
 
     def _has_left(self) -> bool:
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -95,18 +95,18 @@
         self.owns(self._operators.stop)
         self._operators.start()
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Goes on forwarding until the fabric has stopped to send.
 
         No flow depends on a balancer; only datagrams on their way here would be cut.
 
         Args:
-            at_once: Ends the wait when set.
+            stop_now: Ends the wait when set.
         """
         self.membership.change_own(state=MemberState.DRAINING, weight=0)
         until = monotonic_clock() + LEAVE_SECONDS_MAXIMUM
         while monotonic_clock() < min(until, self._received_at + QUIET_SECONDS):
-            if at_once.wait(QUIET_SECONDS / 10):
+            if stop_now.wait(QUIET_SECONDS / 10):
                 return
 
     def _on_view(self, view: View) -> None:
--- a/src/siskinshift/console/processes.py
+++ b/src/siskinshift/console/processes.py
@@ -28,7 +28,7 @@
 class Leaving(Protocol):
     """Something that can leave without cutting what is in progress."""
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Leaves; returns early when the event is set."""
 
 
@@ -52,10 +52,10 @@
 
 
 def _leave(application: Leaving) -> None:
-    at_once = threading.Event()
+    stop_now = threading.Event()
     with ThreadPoolExecutor(1, "leave") as executor:
-        left = executor.submit(application.leave, at_once)
+        left = executor.submit(application.leave, stop_now)
         while not left.done():
             if signal.sigtimedwait(ENDING_SIGNALS, POLL_SECONDS) is not None:
-                at_once.set()
+                stop_now.set()
     left.result()
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -61,11 +61,11 @@
         self.is_abandoned = True
         self.stop()
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Hook: leaves in the planned way; returns when nothing would be cut.
 
         Args:
-            at_once: Ends the wait when set; `stop` follows either way.
+            stop_now: Ends the wait when set; `stop` follows either way.
         """
 
     def owns(self, clean_up: Callable[[], object]) -> None:
