--- a/src/siskinshift/observability/__init__.py
+++ b/src/siskinshift/observability/__init__.py
@@ -1,3 +1,3 @@
-"""Logs and metrics of a process."""
+"""Logging and metrics of a process."""
 
 from __future__ import annotations
--- a/src/siskinshift/observability/event_log.py
+++ b/src/siskinshift/observability/event_log.py
@@ -1,8 +1,8 @@
-"""Structured lines on standard output: one for each decision, never in its way.
+"""Writes structured log lines to standard output without blocking the caller.
 
-A line is put into a bounded queue and written by a thread of its own, several at
-once. A reader that stops reading blocks that thread alone; lines that find the queue
-full, or a rate that is used up, are dropped and counted in the next one.
+Lines are appended to a bounded queue and written in batches by a separate thread, so
+that a blocked output pipe stalls only that thread. Lines that exceed the queue size
+or the rate limit are dropped, and the next line reports how many were dropped.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 EventValue: TypeAlias = str | int | float | bool | None
 
-# Lines are written this often; a line on the way when a process is killed is lost.
+# Lines that are still queued when the process is killed are lost.
 WRITE_INTERVAL_SECONDS = 0.2
-# A thousand lines are some 200 KB: two seconds of the busiest decisions.
-QUEUE_LINES_MAXIMUM = 1000
-# Decisions logged a second, and at once: above the rate of new flows of one instance
-# on an ordinary day.
+# 1000 lines take about 200 KB and hold two seconds of decisions at the peak rate.
+MAX_QUEUED_LINES = 1000
+# Token bucket for decisions: rate and burst exceed the rate at which one instance
+# opens flows under normal load.
 DECISIONS_PER_SECOND = 100.0
 DECISIONS_BURST = 300.0
-STANDARD_OUTPUT = 1
+STDOUT_DESCRIPTOR = 1
 
 
 class EventLog:
-    """Log of one process.
+    """Structured log of one process.
 
     Attributes:
-        dropped: Lines dropped so far.
-        metrics: Counts each decision, also those that are not logged.
+        dropped: Number of lines dropped since the start.
+        metrics: Counters of all decisions, including those that are not logged.
     """
 
     def __init__(
@@ -48,59 +48,63 @@
         *,
         process: str,
         clock: Clock,
-        descriptor: int = STANDARD_OUTPUT,
-        time_of_day: Clock = time.time,
+        descriptor: int = STDOUT_DESCRIPTOR,
+        wall_clock: Clock = time.time,
     ) -> None:
-        """Prepares without writing.
+        """Initializes the log.
 
         Args:
-            process: Name of the process, in each line.
-            clock: Clock of the process.
-            descriptor: Where lines go.
-            time_of_day: Clock that processes share, for readers only: it may jump.
+            process: Process name, included in each line.
+            clock: Monotonic clock of the process.
+            descriptor: File descriptor that lines are written to.
+            wall_clock: Clock for the timestamp that readers compare across processes.
+                It may jump, so it is used for nothing else.
         """
         self.dropped = 0
         self.metrics = NodeMetrics()
         self._process = process
         self._clock = clock
         self._descriptor = descriptor
-        self._time_of_day = time_of_day
-        self._lines: deque[bytes] = deque()
+        self._wall_clock = wall_clock
+        self._queued_lines: deque[bytes] = deque()
         self._wake = threading.Event()
         self._tokens = DECISIONS_BURST
-        self._filled_at = clock()
-        self._dropped_told = 0
+        self._refilled_at = clock()
+        self._dropped_reported = 0
 
     def decision(self, event: str, **fields: EventValue) -> None:
-        """Logs a decision about a flow, at a bounded rate.
+        """Logs a decision about a flow, subject to the rate limit.
 
         Args:
-            event: What was decided.
-            fields: What decided it, with ages and versions, and the outcome.
+            event: The decision.
+            fields: Inputs of the decision, such as ages and versions, and its outcome.
         """
-        self.metrics.count_decision(event, _reason_of(fields))
+        self.metrics.count_decision(event, _extract_reason(fields))
         now = self._clock()
-        grown = (now - self._filled_at) * DECISIONS_PER_SECOND
-        self._tokens = min(DECISIONS_BURST, self._tokens + grown)
-        self._filled_at = now
+        refilled_tokens = (now - self._refilled_at) * DECISIONS_PER_SECOND
+        self._tokens = min(DECISIONS_BURST, self._tokens + refilled_tokens)
+        self._refilled_at = now
         if self._tokens < 1:
             self.dropped += 1
             return
         self._tokens -= 1
-        self._put(event, now, fields)
+        self._enqueue(event, now, fields)
 
     def fact(self, event: str, **fields: EventValue) -> None:
-        """Logs a seldom event: start, stop, reload, a dependency lost or regained.
+        """Logs a rare event without a rate limit.
+
+        Rare events are a start, a stop, a reload, or a dependency that becomes
+        unavailable or available again.
 
         Args:
-            event: What happened.
-            fields: What belongs to it.
+            event: The event.
+            fields: Details of the event.
         """
         self.metrics.count_decision(event, "")
-        self._put(event, self._clock(), fields)
+        self._enqueue(event, self._clock(), fields)
 
     def write_until(self, stopping: threading.Event) -> None:
-        """Writes lines until told to stop, and what is left then.
+        """Writes queued lines periodically, and once more before it returns.
 
         Args:
             stopping: Ends the loop when set.
@@ -109,36 +113,36 @@
             self.write()
         self.write()
 
-    def _put(self, event: str, now: float, fields: dict[str, EventValue]) -> None:
-        if len(self._lines) >= QUEUE_LINES_MAXIMUM:
+    def _enqueue(self, event: str, now: float, fields: dict[str, EventValue]) -> None:
+        if len(self._queued_lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         line: dict[str, EventValue] = {
             "t": round(now, 4),
-            "at": round(self._time_of_day(), 3),
+            "at": round(self._wall_clock(), 3),
             "process": self._process,
             "event": event,
             **fields,
         }
-        if self.dropped != self._dropped_told:
-            line["dropped_lines"] = self.dropped - self._dropped_told
-            self._dropped_told = self.dropped
-        self._lines.append(encode_json(line))
+        if self.dropped != self._dropped_reported:
+            line["dropped_lines"] = self.dropped - self._dropped_reported
+            self._dropped_reported = self.dropped
+        self._queued_lines.append(encode_json(line))
 
     def write(self) -> None:
-        """Writes the lines that wait."""
-        if not self._lines:
+        """Writes all queued lines."""
+        if not self._queued_lines:
             return
-        lines = [self._lines.popleft() for _ in range(len(self._lines))]
+        lines = [self._queued_lines.popleft() for _ in range(len(self._queued_lines))]
         data = memoryview(b"\n".join(lines) + b"\n")
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # Nobody reads any more; the next line that gets out tells how many.
+            # The reader closed the pipe. The next line reports how many were lost.
             self.dropped += len(lines)
 
 
-def _reason_of(fields: dict[str, EventValue]) -> str:
+def _extract_reason(fields: dict[str, EventValue]) -> str:
     reason = fields.get("reason") or fields.get("verdict") or ""
     return str(reason)
--- a/src/siskinshift/observability/explanation.py
+++ b/src/siskinshift/observability/explanation.py
@@ -1,4 +1,4 @@
-"""From the lines of several processes to what became of one flow, and why."""
+"""Explains the outcome of one flow from the log lines of several processes."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
 
 Fields: TypeAlias = dict[str, object]
 
-# Events of the processes involved that lie this near to the flow's are shown as well.
+# Other events of the same processes are included if they are this close to the flow's.
 CONTEXT_SECONDS = 3.0
-# Many at each start, and no cause of anything.
-_NOISE = frozenset({"peer found", "registered"})
-# A wait beside the upstream that a caller notices.
-WAIT_SECONDS = 0.05
-_STAMP_FIELDS = frozenset({"t", "at", "process", "event", "flow", "dropped_lines"})
-
-# A balancer this far behind another one is worth a word: all read a change within it,
-# but on the thinnest links.
-BEHIND_SECONDS = 3.0
-_IN_FORCE = "configuration in force"
-_CONFIGURATION_TROUBLES = frozenset(
+# Frequent at each start, and never the cause of a flow's outcome.
+_OMITTED_EVENTS = frozenset({"peer found", "registered"})
+# A caller notices a wait of this length for a slot of the upstream.
+NOTICEABLE_WAIT_SECONDS = 0.05
+_HEADER_FIELDS = frozenset({"t", "at", "process", "event", "flow", "dropped_lines"})
+
+# A balancer that is this far behind another one is reported. All balancers read a
+# change within this time, except over the slowest links.
+CONFIGURATION_LAG_SECONDS = 3.0
+_CONFIGURATION_IN_FORCE = "configuration in force"
+_CONFIGURATION_FAILURES = frozenset(
     {"configuration lost", "configuration fetch failed"}
 )
 
-# What a decision means for the caller; the last one that decided is the likely cause.
-_CAUSES = {
+# Effect of a decision on the caller. The latest decision of a flow that is in this
+# table is reported as the likely cause.
+_CAUSES_BY_EVENT_AND_REASON = {
     ("reset", "no route"): (
         "refused: the configuration in force there has no route for the address"
     ),
     ("reset", "no upstream holds the flow"): (
-        "its upstream is gone: all agents had their upstreams asked, none holds it"
+        "its upstream is gone: all agents queried their upstreams, none holds the flow"
     ),
     ("reset", "upstream lost the flow"): (
         "its upstream no longer holds the flow: it restarted or closed it"
@@ -51,35 +52,38 @@
         "an agent did not answer, and the balancer was too loaded to ask another one"
     ),
     ("not searched", "link budget"): (
-        "the balancer did not know its owner, and searches had used up their link"
+        "the balancer did not have its owner, and searches had used up their link"
+        " budget"
     ),
     ("not searched", "agents silent"): (
-        "the balancer did not know its owner, and agents that may be it were silent,"
-        " or the link had no room for a packet to each of them"
+        "the balancer did not have its owner, and agents that may own it were"
+        " unresponsive, or the link had no room for a packet to each of them"
     ),
-    ("refused", "full"): "refused under load: the upstream takes no more flows",
+    ("refused", "full"): "refused under load: the upstream accepts no more flows",
     ("refused", "unavailable"): (
-        "the upstream leaves or is silent, its agent ends, or its failure domain is"
-        " evacuated"
+        "the upstream leaves or is unresponsive, its agent ends, or its failure domain"
+        " is evacuated"
+    ),
+    ("refused", "wrong_service"): (
+        "the balancer maps this address to a service that the agent does not serve"
     ),
-    ("refused", "wrong_service"): "the balancer meant another service at this address",
 }
 
 
 @frozen
 class LogLine:
-    """A line of a process.
+    """A parsed log line.
 
     Attributes:
-        at: Time of day, seconds.
-        steady: Steady clock of the process, seconds.
-        process: The process.
-        event: What happened.
-        fields: The rest.
+        at: Wall-clock time in seconds.
+        monotonic_time: Monotonic clock reading of the process in seconds.
+        process: Name of the process.
+        event: Name of the event.
+        fields: All other fields.
     """
 
     at: float
-    steady: float
+    monotonic_time: float
     process: str
     event: str
     fields: Fields
@@ -87,12 +91,12 @@
 
 @frozen
 class Explanation:
-    """What became of a flow.
+    """Outcome of a flow.
 
     Attributes:
-        lines: The flow's lines and those around them, in order.
+        lines: Lines of the flow and their context, in order of time.
         cause: The likely cause.
-        missing: What the lines can't tell; empty if nothing is known to be missing.
+        missing: Note on lines that were dropped; empty if none are known to be.
     """
 
     lines: tuple[LogLine, ...]
@@ -101,13 +105,15 @@
 
 
 def parse_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Reads lines; those that are no event, or have text in front, are handled.
+    """Parses log lines.
+
+    Text in front of the JSON object is ignored, and so are lines without an event.
 
     Args:
         texts: Lines of any processes, in any order.
 
     Returns:
-        The events.
+        The parsed lines.
     """
     lines = []
     for text in texts:
@@ -118,143 +124,159 @@
             fields = orjson.loads(text[start:])
             line = LogLine(
                 at=float(fields["at"]),
-                steady=float(fields["t"]),
+                monotonic_time=float(fields["t"]),
                 process=str(fields["process"]),
                 event=str(fields["event"]),
-                fields={k: v for k, v in fields.items() if k not in _STAMP_FIELDS}
+                fields={k: v for k, v in fields.items() if k not in _HEADER_FIELDS}
                 | {k: fields[k] for k in ("flow", "dropped_lines") if k in fields},
             )
         except (KeyError, TypeError, ValueError):
-            # Cut off by a kill, or of another program.
+            # The line was truncated by a kill, or another program wrote it.
             continue
         lines.append(line)
     return lines
 
 
 def explain(lines: Sequence[LogLine], identity: str) -> Explanation:
-    """Tells what became of a flow.
+    """Explains the outcome of a flow.
 
     Args:
         lines: Lines of all processes.
-        identity: The flow, or its caller's endpoint.
+        identity: Identity of the flow, or its caller's endpoint.
 
     Returns:
-        The time line with the likely cause.
+        The timeline of the flow with the likely cause.
     """
-    own = [x for x in lines if str(x.fields.get("flow", "")).startswith(identity)]
-    if not own:
-        dropped = sum(_dropped(line) for line in lines)
-        return Explanation((), "unknown: no line names the flow", _gaps(dropped))
-    begin = min(line.at for line in own) - CONTEXT_SECONDS
-    end = max(line.at for line in own) + CONTEXT_SECONDS
-    involved = {line.process for line in own}
-    involved |= {str(line.fields.get("agent", "")) for line in own}
-    around = [
+    flow_lines = [
+        line for line in lines if str(line.fields.get("flow", "")).startswith(identity)
+    ]
+    if not flow_lines:
+        dropped = sum(_dropped_count(line) for line in lines)
+        return Explanation(
+            (), "unknown: no line names the flow", _describe_dropped(dropped)
+        )
+    start = min(line.at for line in flow_lines) - CONTEXT_SECONDS
+    end = max(line.at for line in flow_lines) + CONTEXT_SECONDS
+    processes = {line.process for line in flow_lines}
+    processes |= {str(line.fields.get("agent", "")) for line in flow_lines}
+    context_lines = [
         line
         for line in lines
         if "flow" not in line.fields
-        and line.event not in _NOISE
-        and line.process in involved
-        and begin <= line.at <= end
+        and line.event not in _OMITTED_EVENTS
+        and line.process in processes
+        and start <= line.at <= end
     ]
-    shown = sorted([*own, *around], key=lambda line: (line.at, line.steady))
-    dropped = sum(_dropped(line) for line in shown)
-    cause = _behind(lines, own) or _cause_of(own)
-    return Explanation(tuple(shown), cause, _gaps(dropped))
+    timeline = sorted(
+        [*flow_lines, *context_lines], key=lambda line: (line.at, line.monotonic_time)
+    )
+    dropped = sum(_dropped_count(line) for line in timeline)
+    cause = _find_stale_configuration(lines, flow_lines) or _find_cause(flow_lines)
+    return Explanation(tuple(timeline), cause, _describe_dropped(dropped))
 
 
-def _behind(lines: Sequence[LogLine], own: Sequence[LogLine]) -> str:
-    """Tells whether the balancer that took the flow held an older configuration.
+def _find_stale_configuration(
+    lines: Sequence[LogLine], flow_lines: Sequence[LogLine]
+) -> str:
+    """Checks whether the flow's first process had an outdated configuration.
 
     Args:
         lines: Lines of all processes.
-        own: Lines of the flow.
+        flow_lines: Lines of the flow.
 
     Returns:
-        The cause, or nothing if it held what the others did.
+        The cause, or an empty string if its configuration was current.
     """
-    first = min(own, key=lambda line: line.at)
-    before = [line for line in lines if line.at <= first.at]
-    held = [line for line in before if line.event == _IN_FORCE]
-    here = [line for line in held if line.process == first.process]
-    if not here:
+    first = min(flow_lines, key=lambda line: line.at)
+    earlier_lines = [line for line in lines if line.at <= first.at]
+    configuration_lines = [
+        line for line in earlier_lines if line.event == _CONFIGURATION_IN_FORCE
+    ]
+    local_lines = [
+        line for line in configuration_lines if line.process == first.process
+    ]
+    if not local_lines:
         return ""
-    version = max(_number(line.fields.get("version")) for line in here)
-    newer = [
+    version = max(_to_number(line.fields.get("version")) for line in local_lines)
+    newer_lines = [
         line
-        for line in held
-        if _number(line.fields.get("version")) > version
-        and first.at - line.at >= BEHIND_SECONDS
+        for line in configuration_lines
+        if _to_number(line.fields.get("version")) > version
+        and first.at - line.at >= CONFIGURATION_LAG_SECONDS
     ]
-    if not newer:
+    if not newer_lines:
         return ""
-    newest = max(newer, key=lambda line: _number(line.fields.get("version")))
+    newest = max(newer_lines, key=lambda line: _to_number(line.fields.get("version")))
     cause = (
         f"handled by version {version:g} of the configuration, while "
         f"{newest.fields.get('version')} was in force elsewhere "
         f"{first.at - newest.at:.1f} s before ({first.process})"
     )
-    troubles = [
+    failures = [
         line
-        for line in before
-        if line.process == first.process and line.event in _CONFIGURATION_TROUBLES
+        for line in earlier_lines
+        if line.process == first.process and line.event in _CONFIGURATION_FAILURES
     ]
-    if not troubles:
+    if not failures:
         return cause
-    last = max(troubles, key=lambda line: line.at)
+    last = max(failures, key=lambda line: line.at)
     return f"{cause}; {last.event}: {last.fields.get('error')}"
 
 
-def _cause_of(own: Sequence[LogLine]) -> str:
-    ordered = sorted(own, key=lambda line: (line.at, line.steady), reverse=True)
-    for line in ordered:
+def _find_cause(flow_lines: Sequence[LogLine]) -> str:
+    latest_first = sorted(
+        flow_lines, key=lambda line: (line.at, line.monotonic_time), reverse=True
+    )
+    for line in latest_first:
         reason = str(line.fields.get("reason", ""))
-        cause = _CAUSES.get((line.event, reason))
+        cause = _CAUSES_BY_EVENT_AND_REASON.get((line.event, reason))
         if cause:
             return f"{cause} ({line.process})"
-    waits = [_number(line.fields.get("waited")) for line in own]
-    if waits and max(waits) > WAIT_SECONDS:
-        return f"slow under load: waited {max(waits)} s beside its upstream"
-    attempts = [line for line in own if line.event == "open"]
-    if len(attempts) > 1:
-        agent = attempts[0].fields.get("agent", "")
+    waits = [_to_number(line.fields.get("waited")) for line in flow_lines]
+    if waits and max(waits) > NOTICEABLE_WAIT_SECONDS:
+        return f"slow under load: waited {max(waits)} s for a slot of its upstream"
+    open_lines = [line for line in flow_lines if line.event == "open"]
+    if len(open_lines) > 1:
+        agent = open_lines[0].fields.get("agent", "")
         return f"slow to open: the first agent, {agent}, refused or did not answer"
-    answered = {line.fields.get("verdict") for line in own}
-    if attempts and "accepted" not in answered:
-        return "no agent's word came back: the agent or the way to it was down"
-    return "the system refused nothing: look at the upstream and the events around"
+    verdicts = {line.fields.get("verdict") for line in flow_lines}
+    if open_lines and "accepted" not in verdicts:
+        return "no reply from an agent: the agent or the path to it was down"
+    return "the system refused nothing: check the upstream and the events around"
 
 
-def _number(value: object) -> float:
+def _to_number(value: object) -> float:
     return float(value) if isinstance(value, (int, float)) else 0.0
 
 
-def _dropped(line: LogLine) -> int:
+def _dropped_count(line: LogLine) -> int:
     dropped = line.fields.get("dropped_lines", 0)
     return dropped if isinstance(dropped, int) else 0
 
 
-def _gaps(dropped: int) -> str:
+def _describe_dropped(dropped: int) -> str:
     if not dropped:
         return ""
-    return f"{dropped} lines were dropped around, so some decisions are not shown"
+    return f"{dropped} lines were dropped, so some decisions are not shown"
 
 
 def render(explanation: Explanation) -> str:
-    """Writes an explanation for a person.
+    """Renders an explanation as text for an operator.
 
     Args:
         explanation: The explanation.
 
     Returns:
-        One line an event, with the time since the first one, then the cause.
+        One line per event with its time since the first one, then the cause.
     """
-    text = []
+    rendered_lines = []
     for line in explanation.lines:
-        age = line.at - explanation.lines[0].at
+        offset = line.at - explanation.lines[0].at
         details = " ".join(f"{k}={v}" for k, v in line.fields.items())
-        text.append(f"{age:+9.3f} s  {line.process:<24} {line.event}: {details}")
-    text.append(f"likely cause: {explanation.cause}")
+        rendered_lines.append(
+            f"{offset:+9.3f} s  {line.process:<24} {line.event}: {details}"
+        )
+    rendered_lines.append(f"likely cause: {explanation.cause}")
     if explanation.missing:
-        text.append(f"missing: {explanation.missing}")
-    return "\n".join(text)
+        rendered_lines.append(f"missing: {explanation.missing}")
+    return "\n".join(rendered_lines)
--- a/src/siskinshift/observability/instruments.py
+++ b/src/siskinshift/observability/instruments.py
@@ -1,4 +1,4 @@
-"""Names and units under which counters leave a process."""
+"""Defines the names and units under which counters are exported."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Instrument:
-    """A counter's name, unit and meaning.
+    """Name, unit and description of an OpenTelemetry instrument.
 
     Attributes:
         name: OpenTelemetry name.
@@ -32,7 +32,8 @@
     "siskinshift.request.duration", "s", "Time from arrival to the end of the answer."
 )
 
-# By the first part of a counter's name; the rest becomes the attribute "kind".
+# Keyed by the first segment of a counter's name. The rest of the name becomes the
+# attribute "kind".
 INSTRUMENTS_BY_COUNTER: dict[str, Instrument] = {
     "forwarded": Instrument(
         "siskinshift.datagrams.forwarded", "{datagram}", "Datagrams passed on."
--- a/src/siskinshift/observability/logs.py
+++ b/src/siskinshift/observability/logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences by eliot, with a fixed prefix for each part."""
+"""Logs messages through eliot, with a fixed prefix for each component."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import TypeAlias
 
 from siskinshift.core.clocks import monotonic_clock
-from siskinshift.observability.rate_bound import RateBound
+from siskinshift.observability.rate_limiter import LogRateLimiter
 
 
 if TYPE_CHECKING:
@@ -22,97 +22,99 @@
 LEVELS = ("off", "error", "info", "debug")
 
 
-class _LogSwitch:
-    """The process-wide level; eliot's destinations are process-wide as well."""
+class _LogConfiguration:
+    """Process-wide level and destination, because eliot's destinations are global."""
 
     def __init__(self) -> None:
         self.level = LEVELS.index("off")
         self.destination: object | None = None
 
-    def allows(self, level: str) -> bool:
+    def is_enabled(self, level: str) -> bool:
         return LEVELS.index(level) <= self.level
 
 
-_switch = _LogSwitch()
+_configuration = _LogConfiguration()
 
 
 def configure_logs(settings: LogsSettings, stream: TextIO | None = None) -> None:
-    """Sends logs as one JSON object a line; a later call replaces an earlier one.
+    """Configures logging as one JSON object per line.
+
+    A later call replaces the level and the destination of an earlier one.
 
     Args:
-        settings: Chosen level.
-        stream: Where to; standard error by default.
+        settings: Settings with the log level.
+        stream: Destination; standard error by default.
     """
-    # Imported here and in `_write`: the library took 70 to 100 ms to load on a busy
-    # machine, which a restarted node without these logs need not wait for.
+    # Imported here and in `_write`: loading eliot took 70 to 100 ms on a busy machine,
+    # which would delay the restart of a node that does not use these logs.
     import eliot
 
-    _switch.level = LEVELS.index(settings.level)
-    if _switch.destination is not None:
-        eliot.remove_destination(_switch.destination)
-        _switch.destination = None
+    _configuration.level = LEVELS.index(settings.level)
+    if _configuration.destination is not None:
+        eliot.remove_destination(_configuration.destination)
+        _configuration.destination = None
     if settings.level != "off":
-        _switch.destination = eliot.FileDestination(file=stream or sys.stderr)
-        eliot.add_destinations(_switch.destination)
+        _configuration.destination = eliot.FileDestination(file=stream or sys.stderr)
+        eliot.add_destinations(_configuration.destination)
 
 
 class ComponentLog:
-    """Logs of one part of the system; safe to share between threads."""
+    """Logger of one component; thread-safe."""
 
-    def __init__(self, part: str, *, clock: Clock = monotonic_clock) -> None:
-        """Prepares the log of a part.
+    def __init__(self, component: str, *, clock: Clock = monotonic_clock) -> None:
+        """Initializes the logger of a component.
 
         Args:
-            part: Prefix of each sentence, such as "agent".
-            clock: Clock that bounds repeated faults.
+            component: Prefix of each message, such as "agent".
+            clock: Clock for the rate limit of repeated faults.
         """
-        self._part = part
+        self._component = component
         self._clock = clock
-        self._bound = RateBound()
+        self._rate_limiter = LogRateLimiter()
         self._lock = threading.Lock()
 
-    def info(self, sentence: str, **fields: LogValue) -> None:
-        """Logs something that operators want to know.
+    def info(self, message: str, **fields: LogValue) -> None:
+        """Logs an event at the level info.
 
         Args:
-            sentence: A short sentence with its full stop.
-            fields: Values that machines read.
+            message: A short sentence that ends with a full stop.
+            fields: Structured values.
         """
-        if _switch.allows("info"):
-            self._write("info", sentence, fields)
+        if _configuration.is_enabled("info"):
+            self._write("info", message, fields)
 
-    def error(self, sentence: str, **fields: LogValue) -> None:
-        """Logs a fault that happens seldom.
+    def error(self, message: str, **fields: LogValue) -> None:
+        """Logs a rare fault.
 
         Args:
-            sentence: A short sentence with its full stop.
-            fields: Values that machines read.
+            message: A short sentence that ends with a full stop.
+            fields: Structured values.
         """
-        if _switch.allows("error"):
-            self._write("error", sentence, fields)
+        if _configuration.is_enabled("error"):
+            self._write("error", message, fields)
 
-    def repeated(self, key: str, sentence: str, **fields: LogValue) -> None:
-        """Logs a fault that may repeat with each datagram, at a bounded rate.
+    def repeated(self, key: str, message: str, **fields: LogValue) -> None:
+        """Logs a fault that may repeat with each datagram, subject to a rate limit.
 
         Args:
-            key: Names the fault; lines of one key share a bound.
-            sentence: A short sentence with its full stop.
-            fields: Values that machines read.
+            key: Identifier of the fault; lines with the same key share a rate limit.
+            message: A short sentence that ends with a full stop.
+            fields: Structured values.
         """
-        if not _switch.allows("error"):
+        if not _configuration.is_enabled("error"):
             return
         with self._lock:
-            permit = self._bound.permit(key, now=self._clock())
+            permit = self._rate_limiter.permit(key, now=self._clock())
         if permit is None:
             return
-        self._write("error", sentence, fields | {"suppressed": permit.suppressed})
+        self._write("error", message, fields | {"suppressed": permit.suppressed})
 
-    def _write(self, level: str, sentence: str, fields: dict[str, LogValue]) -> None:
+    def _write(self, level: str, message: str, fields: dict[str, LogValue]) -> None:
         import eliot
 
         eliot.log_message(
-            message_type=f"siskinshift:{self._part}",
+            message_type=f"siskinshift:{self._component}",
             level=level,
-            message=f"{self._part}: {sentence}",
+            message=f"{self._component}: {message}",
             **fields,
         )
--- a/src/siskinshift/observability/metrics.py
+++ b/src/siskinshift/observability/metrics.py
@@ -1,4 +1,7 @@
-"""Metrics by OpenTelemetry, read from cheap counters only when exported."""
+"""Exports metrics through OpenTelemetry.
+
+The data path increments plain counters. The SDK reads them only when an export is due.
+"""
 
 from __future__ import annotations
 
@@ -30,18 +33,31 @@
 
 
 METER_NAME = "siskinshift"
-# Seconds; from a local answer to an answer nobody waits for any more.
-DURATION_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
+# The range covers requests from a local response to far beyond common client timeouts.
+DURATION_BUCKET_BOUNDS_SECONDS = (
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1.0,
+    2.5,
+    5.0,
+    10.0,
+    30.0,
+)
 
 
 class MetricsExporter(Protocol):
-    """A way for metrics to leave the process."""
+    """Exports metrics from the process."""
 
     def open(self) -> MetricReader:
-        """Starts the exporter and gives the reader that feeds it."""
+        """Starts the exporter and returns the metric reader that feeds it."""
 
     def close(self) -> None:
-        """Ends what `open` started."""
+        """Stops what `open` started."""
 
 
 _exporters_by_name: dict[str, Callable[[MetricsSettings], MetricsExporter]] = {}
@@ -49,11 +65,11 @@
 ExporterT = TypeVar("ExporterT", bound="Callable[[MetricsSettings], MetricsExporter]")
 
 
-def exports_as(name: str) -> Callable[[ExporterT], ExporterT]:
+def register_exporter(name: str) -> Callable[[ExporterT], ExporterT]:
     """Registers the decorated class as an exporter.
 
     Args:
-        name: Value of the setting.
+        name: Value of the setting that selects the exporter.
 
     Returns:
         The decorator.
@@ -66,9 +82,12 @@
     return register
 
 
-@exports_as("prometheus")
+@register_exporter("prometheus")
 class _PrometheusExporter:
-    """Serves metrics as text over HTTP; a registry of its own for each process."""
+    """Serves metrics over HTTP in the Prometheus text format.
+
+    Each exporter uses its own registry instead of the global one.
+    """
 
     def __init__(self, settings: MetricsSettings) -> None:
         self._endpoint = settings.prometheus_endpoint
@@ -98,7 +117,7 @@
             self._stop_server()
 
 
-@exports_as("otlp")
+@register_exporter("otlp")
 class _OtlpExporter:
     """Pushes metrics to a collector."""
 
@@ -116,15 +135,15 @@
         return PeriodicExportingMetricReader(exporter, export_interval_millis=interval)
 
     def close(self) -> None:
-        """Leaves the end to the provider, which flushes the reader."""
+        """Does nothing: the meter provider shuts down the reader and flushes it."""
 
 
 class Metrics:
-    """Exports a process's counters and objectives; with exporter off, nothing.
+    """Exports counters and objectives of a process, unless the exporter is off.
 
-    The data path adds to `Counters` only. The SDK reads them when an export is due,
-    so its cost depends on the interval and not on the rate of datagrams. The SDK is
-    imported only when an exporter is chosen: it takes memory that agents lack.
+    The data path updates only `Counters`. The SDK reads them when an export is due, so
+    its cost depends on the export interval and not on the datagram rate. The SDK is
+    imported only when an exporter is configured, because agents have little memory.
     """
 
     def __init__(
@@ -135,12 +154,12 @@
         objectives: ObjectiveRecorder,
         clock: Clock,
     ) -> None:
-        """Prepares the exporter that the settings choose.
+        """Initializes the metrics without starting an exporter.
 
         Args:
             settings: All settings of the process.
             counters: Counters of the process.
-            objectives: What the process saw of its objectives.
+            objectives: Recorder of good and bad events per objective.
             clock: Clock of the process.
         """
         self._settings = settings
@@ -152,9 +171,9 @@
         self._exporter: MetricsExporter | None = None
 
     def start(self) -> None:
-        """Starts to export."""
-        make_exporter = _exporters_by_name.get(self._settings.metrics.exporter)
-        if make_exporter is None:
+        """Starts the configured exporter."""
+        exporter_factory = _exporters_by_name.get(self._settings.metrics.exporter)
+        if exporter_factory is None:
             return
         from opentelemetry.sdk.metrics import MeterProvider
         from opentelemetry.sdk.resources import Resource
@@ -163,24 +182,24 @@
         resource = Resource.create(
             {"service.name": METER_NAME, "service.instance.id": node.node_id}
         )
-        self._exporter = make_exporter(self._settings.metrics)
+        self._exporter = exporter_factory(self._settings.metrics)
         self._provider = MeterProvider([self._exporter.open()], resource=resource)
         self._register()
 
     def stop(self) -> None:
-        """Exports once more and ends."""
+        """Exports a last time and stops the exporter."""
         if self._provider is not None:
             self._provider.shutdown()
         if self._exporter is not None:
             self._exporter.close()
 
     def request_ended(self, service_id: str, group_id: str, seconds: float) -> None:
-        """Records how long a request took.
+        """Records the duration of a request.
 
         Args:
             service_id: Service of the request.
             group_id: Group of the request.
-            seconds: Time from arrival to the end of the answer.
+            seconds: Time from arrival to the end of the response.
         """
         if self._durations is not None:
             labels = {"service": service_id, "group": group_id}
@@ -192,13 +211,13 @@
         for counter, instrument in INSTRUMENTS_BY_COUNTER.items():
             meter.create_observable_counter(
                 instrument.name,
-                [self._observer_of(counter)],
+                [self._make_observer(counter)],
                 unit=instrument.unit,
                 description=instrument.description,
             )
         meter.create_observable_counter(
             EVENTS.name,
-            [self._observe_others],
+            [self._observe_uncategorized_events],
             unit=EVENTS.unit,
             description=EVENTS.description,
         )
@@ -212,23 +231,25 @@
             REQUEST_DURATION.name,
             unit=REQUEST_DURATION.unit,
             description=REQUEST_DURATION.description,
-            explicit_bucket_boundaries_advisory=DURATION_BOUNDS,
+            explicit_bucket_boundaries_advisory=DURATION_BUCKET_BOUNDS_SECONDS,
         )
 
-    def _observer_of(
+    def _make_observer(
         self, counter: str
     ) -> Callable[[CallbackOptions], Iterable[Observation]]:
         from opentelemetry.metrics import Observation
 
         def observe(_: CallbackOptions) -> Iterable[Observation]:
             for name, count in self._counters.snapshot().items():
-                head, _dot, kind = name.partition(".")
-                if head == counter:
+                prefix, _dot, kind = name.partition(".")
+                if prefix == counter:
                     yield Observation(count, {"kind": kind} if kind else {})
 
         return observe
 
-    def _observe_others(self, _: CallbackOptions) -> Iterable[Observation]:
+    def _observe_uncategorized_events(
+        self, _: CallbackOptions
+    ) -> Iterable[Observation]:
         from opentelemetry.metrics import Observation
 
         for name, count in self._counters.snapshot().items():
--- a/src/siskinshift/observability/node_metrics.py
+++ b/src/siskinshift/observability/node_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and histograms of a small node, as text for a scrape.
+"""Collects counters, gauges and histograms and renders them in Prometheus text format.
 
-Names and units follow OpenTelemetry's conventions in their Prometheus form. The SDK
-brings far more modules than the rest of such a node, whose restart time and memory
-count, so this is the nearest kin: a few dictionaries.
+Names and units follow the OpenTelemetry conventions in their Prometheus form. The
+OpenTelemetry SDK is not used here: it loads far more modules than the rest of a node,
+whose restart time and memory use matter.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 from attrs import define
 
 
-# Seconds. The objectives of the routes lie between 0.1 and 1 s, so the bounds are
-# dense there; hand-over within a node takes a millisecond.
-BOUNDS_SECONDS = (0.001, 0.005, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0)
+# The latency objectives of the routes lie between 0.1 and 1 s, so the buckets are
+# narrow there. A handover within a node takes a millisecond.
+BUCKET_BOUNDS_SECONDS = (0.001, 0.005, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0)
 
 
 @define(eq=False)
 class Histogram:
-    """Counts of values by bound.
+    """Histogram of durations.
 
     Attributes:
-        counts: Values up to each bound, and those beyond the last.
-        total: Sum of all values, seconds.
+        counts: Number of values in each bucket; the last one has no upper bound.
+        total: Sum of all values, in seconds.
     """
 
-    counts: list[int] = Factory(lambda: [0] * (len(BOUNDS_SECONDS) + 1))
+    counts: list[int] = Factory(lambda: [0] * (len(BUCKET_BOUNDS_SECONDS) + 1))
     total: float = 0.0
 
     def observe(self, value: float) -> None:
-        """Counts a value.
+        """Adds a value.
 
         Args:
-            value: Seconds.
+            value: Duration in seconds.
         """
-        self.counts[bisect_left(BOUNDS_SECONDS, value)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, value)] += 1
         self.total += value
 
 
 class NodeMetrics:
-    """All counters and histograms of a node."""
+    """Counters, gauges and histograms of a node."""
 
     def __init__(self) -> None:
-        """Starts with nothing counted."""
+        """Initializes the metrics without any values."""
         self._decisions: Counter[tuple[str, str]] = Counter()
         self._histograms_by_name: dict[str, Histogram] = {}
         self._gauges_by_name: dict[str, float] = {}
@@ -54,17 +54,17 @@
         """Counts a decision.
 
         Args:
-            event: What was decided.
-            reason: Why; empty if there is one way only.
+            event: The decision.
+            reason: Reason of the decision; empty if the event has only one.
         """
         self._decisions[event, reason] += 1
 
     def observe(self, name: str, seconds: float) -> None:
-        """Counts a duration.
+        """Adds a duration to a histogram.
 
         Args:
             name: Name of the histogram, without unit.
-            seconds: The duration.
+            seconds: Duration in seconds.
         """
         histogram = self._histograms_by_name.get(name)
         if histogram is None:
@@ -72,19 +72,19 @@
         histogram.observe(seconds)
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Sets a value that goes up and down.
+        """Sets a gauge.
 
         Args:
-            name: Its name.
-            value: The value.
+            name: Name of the gauge.
+            value: Current value.
         """
         self._gauges_by_name[name] = value
 
     def render(self) -> str:
-        """Writes all in the text format of a scrape.
+        """Renders all metrics in the Prometheus text format.
 
         Returns:
-            The text.
+            Body of the response to a scrape.
         """
         lines = ["# TYPE siskinshift_decisions_total counter"]
         for (event, reason), count in sorted(self._decisions.items()):
@@ -100,11 +100,11 @@
 
 def _render_histogram(name: str, histogram: Histogram) -> list[str]:
     lines = [f"# TYPE {name} histogram"]
-    running = 0
-    bounds = [*(f"{bound:g}" for bound in BOUNDS_SECONDS), "+Inf"]
+    cumulative_count = 0
+    bounds = [*(f"{bound:g}" for bound in BUCKET_BOUNDS_SECONDS), "+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        running += count
-        lines.append(f'{name}_bucket{{le="{bound}"}} {running}')
+        cumulative_count += count
+        lines.append(f'{name}_bucket{{le="{bound}"}} {cumulative_count}')
     lines.append(f"{name}_sum {histogram.total:g}")
-    lines.append(f"{name}_count {running}")
+    lines.append(f"{name}_count {cumulative_count}")
     return lines
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself: counters, objectives and metrics, in one place."""
+"""Records counters, objectives and metrics of a process."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class Telemetry:
-    """Takes events from the parts of a process; safe to share between threads.
+    """Records events from all components of a process; thread-safe.
 
     Attributes:
-        counters: Cheap counters for the data path.
-        objectives: Counts of good and bad events for the report on burn.
+        counters: Plain counters that the data path increments.
+        objectives: Counts of good and bad events for the burn-rate report.
     """
 
     def __init__(self, settings: Settings, *, clock: Clock) -> None:
-        """Prepares without exporting.
+        """Initializes the telemetry without starting the export.
 
         Args:
             settings: All settings of the process.
@@ -40,19 +40,20 @@
         )
 
     def start(self) -> None:
-        """Starts to export as the settings say."""
+        """Starts the configured exporter."""
         self._metrics.start()
 
     def stop(self) -> None:
-        """Exports once more and ends."""
+        """Exports a last time and stops the exporter."""
         self._metrics.stop()
 
     def request_ended(self, request: Request, outcome: OutcomeKind) -> None:
-        """Takes what a caller was told of a request.
+        """Records the outcome of a request as its caller received it.
 
         Args:
             request: The request.
-            outcome: Its outcome; of a whole answer, at the answer's head.
+            outcome: Outcome of the request. If the request is answered, this is the
+                outcome when the response headers were received.
         """
         now = self._clock()
         seconds = now - request.arrived_at
@@ -68,24 +69,24 @@
         )
 
     def slot_used(self, service_id: str, *, seconds: float) -> None:
-        """Takes the time that a run held a slot of the upstream.
+        """Records how long a request held a slot of the upstream.
 
         Args:
             service_id: Service of the request.
-            seconds: Time from the offer to the end.
+            seconds: Time from the dispatch of the request to its end.
         """
-        # Work is compared between upstreams by the slot: one with more slots is
-        # meant to do more.
+        # Work is compared per slot, because an upstream with more slots is expected to
+        # do more work.
         self.objectives.slot_used(
             service_id, seconds=seconds / self._slots, now=self._clock()
         )
 
     def flow_ended(self, service_id: str, *, broken: bool) -> None:
-        """Takes the end of a flow.
+        """Records the end of a flow.
 
         Args:
             service_id: Service of the flow.
-            broken: Whether it was cut before its caller ended it.
+            broken: Whether the flow was cut before its caller ended it.
         """
         self.counters.add("flows.broken" if broken else "flows.ended")
         self.objectives.flow_ended(service_id, broken=broken, now=self._clock())
