--- a/src/siskinshift/console/commands/report.py
+++ b/src/siskinshift/console/commands/report.py
@@ -31,6 +31,8 @@
     objectives = load_section(Path(str(settings)), ObjectivesSettings)
     endpoints = endpoints_of(targets)
     scrape = scrape_all(endpoints)
-    if len(scrape.silent) == len(endpoints):
-        raise MetricsUnreachableError(f"no answer from {', '.join(scrape.silent)}")
+    if len(scrape.unreachable_endpoints) == len(endpoints):
+        raise MetricsUnreachableError(
+            f"no answer from {', '.join(scrape.unreachable_endpoints)}"
+        )
     return render_report(build_report(scrape, objectives), output)
--- a/src/siskinshift/observability/explanation.py
+++ b/src/siskinshift/observability/explanation.py
@@ -52,11 +52,11 @@
         "an agent did not answer, and the balancer was too loaded to ask another one"
     ),
     ("not searched", "link budget"): (
-        "the balancer did not have its owner, and searches had used up their link"
+        "the balancer had no owner for the flow, and searches had used up their link"
         " budget"
     ),
     ("not searched", "agents silent"): (
-        "the balancer did not have its owner, and agents that may own it were"
+        "the balancer had no owner for the flow, and agents that may own it were"
         " unresponsive, or the link had no room for a packet to each of them"
     ),
     ("refused", "full"): "refused under load: the upstream accepts no more flows",
--- a/src/siskinshift/observability/metrics.py
+++ b/src/siskinshift/observability/metrics.py
@@ -33,7 +33,7 @@
 
 
 METER_NAME = "siskinshift"
-# The range covers requests from a local response to far beyond common client timeouts.
+# From a locally served response to one that its caller no longer waits for.
 DURATION_BUCKET_BOUNDS_SECONDS = (
     0.005,
     0.01,
--- a/src/siskinshift/report/__init__.py
+++ b/src/siskinshift/report/__init__.py
@@ -1,3 +1,3 @@
-"""Reports for operators."""
+"""Builds and renders reports for operators."""
 
 from __future__ import annotations
--- a/src/siskinshift/report/burn_report.py
+++ b/src/siskinshift/report/burn_report.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn: rows for each service and group."""
+"""Builds the burn-rate report, with rows for each service and group."""
 
 from __future__ import annotations
 
@@ -24,13 +24,14 @@
 
 @frozen
 class WindowFigures:
-    """An objective over one window.
+    """Event counts and burn rate of an objective over one window.
 
     Attributes:
         window: Name of the window.
-        good: Events that meet the objective.
-        bad: Events that miss it.
-        burn_rate: 1 uses the budget as it is earned.
+        good: Number of events that met the objective.
+        bad: Number of events that missed it.
+        burn_rate: Rate at which the error budget is used. At 1 the budget is used as
+            fast as it is earned.
     """
 
     window: str
@@ -41,16 +42,16 @@
 
 @frozen
 class BurnRow:
-    """One objective of one service, and group where it has one.
+    """Burn of one objective of a service or group.
 
     Attributes:
         objective: Name of the objective.
-        service_id: The service.
-        group_id: The group, or empty.
-        target: Part of events that should be good.
-        budget_left: Part of the longest window's budget that is left.
-        urgency: What the burn rates ask for.
-        windows: Figures for each window, shortest first.
+        service_id: Name of the service.
+        group_id: Name of the group; empty if the objective has no group.
+        target: Fraction of events that should be good.
+        budget_left: Fraction of the longest window's error budget that is left.
+        urgency: Urgency of the alert that the burn rates cause.
+        windows: Counts and rates for each window, shortest first.
     """
 
     objective: str
@@ -64,13 +65,14 @@
 
 @frozen
 class ImbalanceRow:
-    """Work of the busiest upstream slot over the mean, for one service.
+    """Ratio of the busiest upstream slot's work to the mean, for one service.
 
     Attributes:
-        service_id: The service.
-        limit: Ratio that still counts as balanced.
-        ratios_by_window: Ratio by window name; 1 is even, 0 means no work.
-        urgency: A ticket when both the hour and the last minutes are over the limit.
+        service_id: Name of the service.
+        limit: Highest ratio that counts as balanced.
+        ratios_by_window: Ratios by window name; 1 is balanced, 0 means no work.
+        urgency: A ticket if the ratios of the one-hour and the five-minute window are
+            both above the limit.
     """
 
     service_id: str
@@ -81,36 +83,40 @@
 
 @frozen
 class BurnReport:
-    """All rows.
+    """Burn-rate report over all processes.
 
     Attributes:
-        rows: Objectives with a budget.
+        rows: Rows of the objectives with an error budget.
         imbalance: Imbalance of each service.
-        silent: Metrics endpoints that did not answer; their events are missing.
+        silent: Metrics endpoints that did not respond. Their events are missing from
+            the report.
     """
 
     rows: tuple[BurnRow, ...]
     imbalance: tuple[ImbalanceRow, ...]
     silent: tuple[str, ...]
 
-    def worst(self) -> Urgency:
-        """Finds the most urgent row.
+    def most_urgent(self) -> Urgency:
+        """Returns the highest urgency of all rows.
 
         Returns:
-            Its urgency.
+            The highest urgency.
         """
         urgencies = {row.urgency for row in self.rows}
         urgencies |= {row.urgency for row in self.imbalance}
-        order = (Urgency.PAGE, Urgency.TICKET)
-        return next((one for one in order if one in urgencies), Urgency.NONE)
+        urgencies_descending = (Urgency.PAGE, Urgency.TICKET)
+        return next(
+            (urgency for urgency in urgencies_descending if urgency in urgencies),
+            Urgency.NONE,
+        )
 
 
 def build_report(scrape: Scrape, settings: ObjectivesSettings) -> BurnReport:
-    """Evaluates what the processes served.
+    """Builds the report from scraped series.
 
     Args:
-        scrape: Their series.
-        settings: The objectives.
+        scrape: Series of all processes.
+        settings: Targets of the objectives.
 
     Returns:
         The report.
@@ -122,14 +128,14 @@
     counts_by_key = _sum_over_nodes(scrape.series)
     rows = [
         _burn_row(key, counts, targets_by_kind[key.kind])
-        for key, counts in sorted(counts_by_key.items(), key=_row_order)
+        for key, counts in sorted(counts_by_key.items(), key=_row_sort_key)
         if key.kind in targets_by_kind
     ]
     imbalance = _imbalance_rows(scrape.series, settings.imbalance_limit)
-    return BurnReport(tuple(rows), imbalance, scrape.silent)
+    return BurnReport(tuple(rows), imbalance, scrape.unreachable_endpoints)
 
 
-def _row_order(item: tuple[SeriesKey, object]) -> tuple[str, str, str]:
+def _row_sort_key(item: tuple[SeriesKey, object]) -> tuple[str, str, str]:
     key = item[0]
     return (key.service_id, key.kind.value, key.group_id)
 
@@ -138,11 +144,11 @@
     series: tuple[NodeSeries, ...],
 ) -> dict[SeriesKey, dict[str, EventCounts]]:
     sums: dict[SeriesKey, dict[str, EventCounts]] = {}
-    for one in series:
-        by_window = sums.setdefault(one.key, {})
-        for window, counts in one.counts_by_window.items():
-            known = by_window.get(window, EventCounts(0.0, 0.0))
-            by_window[window] = known.plus(counts)
+    for node_series in series:
+        counts_by_window = sums.setdefault(node_series.key, {})
+        for window, counts in node_series.counts_by_window.items():
+            total = counts_by_window.get(window, EventCounts(0.0, 0.0))
+            counts_by_window[window] = total.plus(counts)
     return sums
 
 
@@ -175,9 +181,11 @@
     series: tuple[NodeSeries, ...], limit: float
 ) -> tuple[ImbalanceRow, ...]:
     series_by_service: dict[str, list[NodeSeries]] = {}
-    for one in series:
-        if one.key.kind is ObjectiveKind.SLOT_SECONDS:
-            series_by_service.setdefault(one.key.service_id, []).append(one)
+    for node_series in series:
+        if node_series.key.kind is ObjectiveKind.SLOT_SECONDS:
+            series_by_service.setdefault(node_series.key.service_id, []).append(
+                node_series
+            )
     return tuple(
         _imbalance_row(service_id, nodes, limit)
         for service_id, nodes in sorted(series_by_service.items())
@@ -188,18 +196,18 @@
     service_id: str, nodes: list[NodeSeries], limit: float
 ) -> ImbalanceRow:
     ratios = {window.name: _ratio(nodes, window.name) for window in WINDOWS}
-    still_over = min(ratios[HOUR.name], ratios[FIVE_MINUTES.name]) > limit
+    exceeds_limit = min(ratios[HOUR.name], ratios[FIVE_MINUTES.name]) > limit
     return ImbalanceRow(
         service_id=service_id,
         limit=limit,
         ratios_by_window=ratios,
-        urgency=Urgency.TICKET if still_over else Urgency.NONE,
+        urgency=Urgency.TICKET if exceeds_limit else Urgency.NONE,
     )
 
 
 def _ratio(nodes: list[NodeSeries], window: str) -> float:
-    work = [
+    slot_seconds = [
         node.counts_by_window.get(window, EventCounts(0.0, 0.0)).good for node in nodes
     ]
-    mean = sum(work) / len(work)
-    return max(work) / mean if mean > 0 else 0.0
+    mean = sum(slot_seconds) / len(slot_seconds)
+    return max(slot_seconds) / mean if mean > 0 else 0.0
--- a/src/siskinshift/report/exceptions.py
+++ b/src/siskinshift/report/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of reports."""
+"""Exceptions raised by reports."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 class ReportArgumentError(SiskinshiftError):
-    """An argument that the report does not know."""
+    """An argument of the report is not allowed."""
 
     kind = ErrorKind.INVALID_ARGUMENT
--- a/src/siskinshift/report/scrape.py
+++ b/src/siskinshift/report/scrape.py
@@ -1,4 +1,4 @@
-"""Collects the objectives' counts that processes serve with their metrics."""
+"""Collects the event counts of objectives from the metrics endpoints of processes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
     from siskinshift.messages.core import Endpoint
 
 
-TIMEOUT_SECONDS = 3.0
-PARALLEL_SCRAPES = 16
+REQUEST_TIMEOUT_SECONDS = 3.0
+MAX_PARALLEL_SCRAPES = 16
 METRIC_NAME = "siskinshift_objective_events"
 NO_EVENTS = EventCounts(0.0, 0.0)
 
 _WINDOW_NAMES = frozenset(window.name for window in WINDOWS)
-_KINDS = frozenset(kind.value for kind in ObjectiveKind)
+_OBJECTIVE_NAMES = frozenset(kind.value for kind in ObjectiveKind)
 
 
 @frozen
 class NodeSeries:
-    """Counts of one series at one process.
+    """Event counts of one series of one process.
 
     Attributes:
-        node_id: The process.
-        key: The series.
+        node_id: Node id of the process.
+        key: Key of the series.
         counts_by_window: Counts by window name.
     """
 
@@ -49,49 +49,49 @@
 
 @frozen
 class Scrape:
-    """What the processes served.
+    """Result of scraping all processes.
 
     Attributes:
-        series: All series of all processes that answered.
-        silent: Endpoints that did not answer.
+        series: All series of the processes that responded.
+        unreachable_endpoints: Endpoints that did not respond.
     """
 
     series: tuple[NodeSeries, ...]
-    silent: tuple[str, ...]
+    unreachable_endpoints: tuple[str, ...]
 
 
 def scrape_all(endpoints: Sequence[Endpoint]) -> Scrape:
-    """Asks all processes at once.
+    """Scrapes all processes in parallel.
 
     Args:
-        endpoints: Their metrics endpoints.
+        endpoints: Metrics endpoints of the processes.
 
     Returns:
-        What they served, and who kept silent.
+        Their series, and the endpoints that did not respond.
     """
-    with ThreadPoolExecutor(PARALLEL_SCRAPES, "scrape") as executor:
+    with ThreadPoolExecutor(MAX_PARALLEL_SCRAPES, "scrape") as executor:
         texts = list(executor.map(_fetch, endpoints))
-    silent = [
+    unreachable_endpoints = [
         format_endpoint(endpoint)
         for endpoint, text in zip(endpoints, texts, strict=True)
         if text is None
     ]
-    series = [one for text in texts if text for one in parse_series(text)]
-    return Scrape(tuple(series), tuple(silent))
+    series = [node for text in texts if text for node in parse_series(text)]
+    return Scrape(tuple(series), tuple(unreachable_endpoints))
 
 
 def parse_series(text: str) -> list[NodeSeries]:
-    """Reads the objectives' counts out of a process's metrics.
+    """Parses the event counts of objectives from a process's metrics.
 
     Args:
         text: Metrics in the Prometheus text format.
 
     Returns:
-        One series for each node, objective, service and group. Lines of other
-        metrics, unknown objectives and windows are passed over, so that versions
-        can mix; text in another format gives none.
+        One series for each node, objective, service and group. Other metrics, unknown
+        objectives and unknown windows are ignored, so that processes of different
+        versions can be scraped together. Text in another format gives an empty list.
     """
-    counts: dict[tuple[str, SeriesKey], dict[str, EventCounts]] = {}
+    counts_by_key: dict[tuple[str, SeriesKey], dict[str, EventCounts]] = {}
     try:
         families = [
             family
@@ -102,31 +102,34 @@
         return []
     for family in families:
         for sample in family.samples:
-            _add_sample(counts, sample.labels, sample.value)
-    return [NodeSeries(node, key, by_name) for (node, key), by_name in counts.items()]
+            _add_sample(counts_by_key, sample.labels, sample.value)
+    return [
+        NodeSeries(node, key, counts_by_window)
+        for (node, key), counts_by_window in counts_by_key.items()
+    ]
 
 
 def _add_sample(
-    counts: dict[tuple[str, SeriesKey], dict[str, EventCounts]],
+    counts_by_key: dict[tuple[str, SeriesKey], dict[str, EventCounts]],
     labels: dict[str, str],
     value: float,
 ) -> None:
     kind = labels.get("objective", "")
     window = labels.get("window", "")
-    if kind not in _KINDS or window not in _WINDOW_NAMES:
+    if kind not in _OBJECTIVE_NAMES or window not in _WINDOW_NAMES:
         return
     key = SeriesKey(
         ObjectiveKind(kind), labels.get("service", ""), labels.get("group", "")
     )
-    by_window = counts.setdefault((labels.get("node", ""), key), {})
+    counts_by_window = counts_by_key.setdefault((labels.get("node", ""), key), {})
     is_good = labels.get("result") == "good"
     added = EventCounts(value, 0.0) if is_good else EventCounts(0.0, value)
-    by_window[window] = by_window.get(window, NO_EVENTS).plus(added)
+    counts_by_window[window] = counts_by_window.get(window, NO_EVENTS).plus(added)
 
 
 def _fetch(endpoint: Endpoint) -> str | None:
     connection = http.client.HTTPConnection(
-        endpoint.host, endpoint.port, timeout=TIMEOUT_SECONDS
+        endpoint.host, endpoint.port, timeout=REQUEST_TIMEOUT_SECONDS
     )
     try:
         connection.request("GET", "/metrics")
