--- a/src/siskinshift/console/application.py
+++ b/src/siskinshift/console/application.py
@@ -1,4 +1,4 @@
-"""Entry of the command line."""
+"""Runs the command line and maps errors to exit codes."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
 
 
 def main() -> None:
-    """Runs the command named by the arguments; exits with the kind's status."""
+    """Runs the command in the arguments and exits with the code of its error kind."""
     try:
         fire.Fire(load_commands(), name="siskinshift")
     except SiskinshiftError as error:
-        print(f"siskinshift: {error.code}: {error}{_advice(error)}", file=sys.stderr)
+        print(
+            f"siskinshift: {error.code}: {error}{_recovery_hint(error)}",
+            file=sys.stderr,
+        )
         sys.exit(ANSWERS_BY_KIND[error.kind].exit_code)
     except KeyboardInterrupt:
         sys.exit(INTERRUPTED_EXIT_CODE)
     except BrokenPipeError:
-        # The reader, such as `head`, has seen enough.
+        # The reader of the output, such as `head`, closed the pipe.
         sys.stderr.close()
 
 
-def _advice(error: SiskinshiftError) -> str:
+def _recovery_hint(error: SiskinshiftError) -> str:
     change_id = getattr(error, "change_id", "")
     if error.kind is ErrorKind.OUTCOME_UNKNOWN and change_id:
         return f"\nit may have taken effect; see: siskinshift change find {change_id}"
--- a/src/siskinshift/console/arguments.py
+++ b/src/siskinshift/console/arguments.py
@@ -1,4 +1,4 @@
-"""Reading of arguments; fire hands over tuples, numbers and strings."""
+"""Parses command arguments, which fire passes as tuples, numbers or strings."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
     from siskinshift.messages.core import Endpoint
 
 
-def texts_of(argument: object) -> list[str]:
+def split_argument(argument: object) -> list[str]:
     """Splits a comma-separated argument.
 
     Args:
-        argument: What fire made of it; "a,b" may come as a tuple.
+        argument: Value passed by fire; "a,b" may be passed as a tuple.
 
     Returns:
-        The parts, without empty ones.
+        The non-empty parts.
     """
     if isinstance(argument, tuple | list):
         return [str(part) for part in argument]
     return [part.strip() for part in str(argument).split(",") if part.strip()]
 
 
-def endpoint_of(argument: object) -> Endpoint:
-    """Reads an endpoint.
+def parse_endpoint_argument(argument: object) -> Endpoint:
+    """Parses an endpoint.
 
     Args:
-        argument: What fire made of it.
+        argument: Value passed by fire.
 
     Returns:
         The endpoint.
 
     Raises:
-        ArgumentError: It is none.
+        ArgumentError: The argument is not an endpoint.
     """
     try:
         return parse_endpoint(str(argument))
@@ -44,19 +44,19 @@
         raise ArgumentError(f"{argument!r}: {error}") from error
 
 
-def endpoints_of(argument: object) -> list[Endpoint]:
-    """Reads comma-separated endpoints.
+def parse_endpoints_argument(argument: object) -> list[Endpoint]:
+    """Parses comma-separated endpoints.
 
     Args:
-        argument: What fire made of it.
+        argument: Value passed by fire.
 
     Returns:
         The endpoints.
 
     Raises:
-        ArgumentError: One part is none, or there is none at all.
+        ArgumentError: A part is not an endpoint, or the argument is empty.
     """
-    endpoints = [endpoint_of(text) for text in texts_of(argument)]
+    endpoints = [parse_endpoint_argument(text) for text in split_argument(argument)]
     if not endpoints:
         raise ArgumentError("allowed: one endpoint or more, comma-separated")
     return endpoints
--- a/src/siskinshift/console/commands/__init__.py
+++ b/src/siskinshift/console/commands/__init__.py
@@ -1,3 +1,3 @@
-"""One module for each command."""
+"""Command modules, one for each command or command group."""
 
 from __future__ import annotations
--- a/src/siskinshift/console/commands/balancer.py
+++ b/src/siskinshift/console/commands/balancer.py
@@ -1,4 +1,4 @@
-"""Command `balancer`: runs the process."""
+"""Command `balancer`: runs the balancer process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     Args:
         settings: Path of the INI file.
     """
-    # Imported here so that other commands don't pay for it.
+    # Imported here so that other commands start without loading these modules.
     from siskinshift.balancer.application import BalancerApplication
     from siskinshift.observability.logs import configure_logs
     from siskinshift.settings.loader import load_settings
--- a/src/siskinshift/console/commands/check.py
+++ b/src/siskinshift/console/commands/check.py
@@ -1,4 +1,4 @@
-"""Command `check`: reads a settings file and tells what is wrong."""
+"""Command `check`: validates a settings file."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @command("check")
 def check_settings(settings: str, output: str = "text") -> str:
-    """Checks a settings file; prints the values in force.
+    """Validates a settings file and prints the effective values.
 
-    Secrets are never printed. Exit status is 2 when a value is not allowed.
+    Secrets are never printed. The exit status is 2 if a value is not allowed.
 
-    A file whose name ends with .toml is read as the platform's settings of a node.
+    A file with the extension .toml is read as the platform's settings of a node.
 
     Example: siskinshift check balancer.ini
 
     Args:
-        settings: Path of the file.
-        output: text or json; text for a platform's file.
+        settings: Path of the settings file.
+        output: Output format: text or json. A .toml file is always printed as text.
     """
     if settings.endswith(".toml"):
         from siskinshift.platform.settings import load_node_settings
--- a/src/siskinshift/console/commands/demo.py
+++ b/src/siskinshift/console/commands/demo.py
@@ -1,4 +1,4 @@
-"""Command `demo`: both deployments of the users in one process."""
+"""Command `demo`: runs two example deployments in one process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @command("demo")
 def run_demo() -> None:
-    """Runs both deployments with callers for less than a minute; prints figures."""
+    """Runs two example deployments with callers for less than a minute.
+
+    Prints the results. The exit status is 1 if the demo fails.
+    """
     from siskinshift.demo.run import print_demo
 
     if not print_demo():
--- a/src/siskinshift/console/commands/drain.py
+++ b/src/siskinshift/console/commands/drain.py
@@ -1,10 +1,10 @@
-"""Commands `drain ...`: takes new work from an agent, or gives it back."""
+"""Commands `drain ...`: stops or resumes new flows to an agent."""
 
 from __future__ import annotations
 
-from siskinshift.console.operators import is_json
+from siskinshift.console.operators import format_accepted_change
+from siskinshift.console.operators import is_json_output
 from siskinshift.console.operators import operators_client
-from siskinshift.console.operators import write_accepted
 from siskinshift.console.registry import command
 
 
@@ -16,16 +16,16 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Drains an agent: no new flows within seconds, owned flows go on.
+    """Drains an agent: no new flows within seconds, owned flows continue.
 
     Example: siskinshift drain start editor editor-3
 
     Args:
         service_id: Name of the service.
         member_id: Node id of the agent.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
     return _set_drain(service_id, member_id, True, change_id, client, output)
 
@@ -38,14 +38,14 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Takes a drain back.
+    """Ends the drain of an agent, so that it receives new flows again.
 
     Args:
         service_id: Name of the service.
         member_id: Node id of the agent.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
     return _set_drain(service_id, member_id, False, change_id, client, output)
 
@@ -58,7 +58,7 @@
     client: str,
     output: str,
 ) -> str:
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         change = operators.set_drain(
             str(service_id),
@@ -66,4 +66,4 @@
             drained=drained,
             change_id=str(change_id),
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
--- a/src/siskinshift/console/commands/evacuation.py
+++ b/src/siskinshift/console/commands/evacuation.py
@@ -1,10 +1,10 @@
-"""Commands `evacuation ...`: takes new work from a failure domain, or gives it back."""
+"""Commands `evacuation ...`: stops or resumes new flows to a failure domain."""
 
 from __future__ import annotations
 
-from siskinshift.console.operators import is_json
+from siskinshift.console.operators import format_accepted_changes
+from siskinshift.console.operators import is_json_output
 from siskinshift.console.operators import operators_client
-from siskinshift.console.operators import write_all_accepted
 from siskinshift.console.registry import command
 
 
@@ -15,18 +15,18 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Evacuates a failure domain: no new flows within seconds, open ones live on.
+    """Evacuates a failure domain: no new flows within seconds, open flows continue.
 
-    Each service is changed by itself; after a refusal the same command goes on where it
-    ended.
+    Each service is changed separately. If a change is refused, repeat the command to
+    continue with the remaining services.
 
     Example: siskinshift evacuation start domain-a
 
     Args:
-        failure_domain: The failure domain.
-        service_id: Only for this service; empty for all.
-        client: INI file with section [client].
-        output: text or json.
+        failure_domain: Name of the failure domain.
+        service_id: Name of the only service to change; empty for all.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
     return _set_evacuation(failure_domain, service_id, True, client, output)
 
@@ -38,13 +38,13 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Takes a failure domain back.
+    """Ends the evacuation of a failure domain, so that it receives new flows again.
 
     Args:
-        failure_domain: The failure domain.
-        service_id: Only for this service; empty for all.
-        client: INI file with section [client].
-        output: text or json.
+        failure_domain: Name of the failure domain.
+        service_id: Name of the only service to change; empty for all.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
     return _set_evacuation(failure_domain, service_id, False, client, output)
 
@@ -52,12 +52,12 @@
 def _set_evacuation(
     failure_domain: str, service_id: str, evacuated: bool, client: str, output: str
 ) -> str:
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     domain = str(failure_domain)
     with operators_client(client) as operators:
-        # The list may be behind the last change, so it only names the services.
+        # The list may be older than the latest change, so only the names are used.
         changes = [
             operators.set_evacuation(service.service_id, domain, evacuated=evacuated)
             for service in operators.list_services(str(service_id))
         ]
-    return write_all_accepted(changes, as_json=as_json)
+    return format_accepted_changes(changes, as_json=as_json)
--- a/src/siskinshift/console/commands/explain.py
+++ b/src/siskinshift/console/commands/explain.py
@@ -1,4 +1,4 @@
-"""Command `explain`: from a flow's identity to what became of it, and why."""
+"""Command `explain`: explains the outcome of a flow from log lines."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @command("explain")
 def explain_flow(identity: str, *logs: str) -> str:
-    """Prints the time line of a flow over all processes, and the likely cause.
+    """Prints the timeline of a flow across all processes, and the likely cause.
 
-    The identity is the caller's address and port, or the whole flow as logs write it.
+    The identity is the caller's address and port, or the whole flow as in the logs.
 
     Example: siskinshift explain 100.64.0.7:40001 balancer-1.log agent-3.log
 
     Args:
-        identity: The flow or its caller's endpoint.
-        logs: Files with lines of processes; standard input when none is named.
+        identity: Identity of the flow, or its caller's endpoint.
+        logs: Log files of the processes; standard input if none is given.
     """
     from siskinshift.observability.explanation import explain
     from siskinshift.observability.explanation import parse_lines
--- a/src/siskinshift/console/commands/group.py
+++ b/src/siskinshift/console/commands/group.py
@@ -1,16 +1,16 @@
-"""Commands `group ...`: groups of a service and their shares."""
+"""Commands `group ...`: manages groups of a service and their shares."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-from siskinshift.console.operators import is_json
+from siskinshift.console.operators import format_accepted_change
+from siskinshift.console.operators import format_json
+from siskinshift.console.operators import format_table
+from siskinshift.console.operators import is_json_output
 from siskinshift.console.operators import operators_client
-from siskinshift.console.operators import write_accepted
-from siskinshift.console.operators import write_json
-from siskinshift.console.operators import write_table
 from siskinshift.console.registry import command
-from siskinshift.console.tokens import token_digest
+from siskinshift.console.tokens import read_token_digest
 from siskinshift.messages.core import Group
 
 
@@ -27,8 +27,8 @@
 ) -> str:
     """Adds a group to a service, or replaces it.
 
-    Callers show that they belong to the group by a bearer token. Only its digest
-    leaves this machine.
+    Callers authenticate as members of the group with a bearer token. Only the digest
+    of the token is sent.
 
     Example: siskinshift group put editor treasurers --share 3 \
       --token-file treasurers.token
@@ -36,21 +36,21 @@
     Args:
         service_id: Name of the service.
         group_id: Name of the group.
-        share: Share it is owed, relative to the other groups.
-        token_file: File with the group's token; empty for none.
-        revision: Revision that you have seen; 0 for whatever is current.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        share: Share of the group, relative to the other groups.
+        token_file: Path of the file with the group's token; empty for no token.
+        revision: Revision on which the change is based; 0 for the current one.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
-    digest = token_digest(Path(str(token_file))) if token_file else ""
+    as_json = is_json_output(output)
+    digest = read_token_digest(Path(str(token_file))) if token_file else ""
     group = Group(group_id=str(group_id), share=share, credential_sha256=digest)
     with operators_client(client) as operators:
         change = operators.put_group(
             str(service_id), group, revision=revision, change_id=str(change_id)
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("group delete")
@@ -67,12 +67,12 @@
     Args:
         service_id: Name of the service.
         group_id: Name of the group.
-        revision: Revision that you have seen; 0 for whatever is current.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        revision: Revision on which the change is based; 0 for the current one.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         change = operators.delete_group(
             str(service_id),
@@ -80,7 +80,7 @@
             revision=revision,
             change_id=str(change_id),
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("group share")
@@ -93,20 +93,20 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Sets the share that a group is owed.
+    """Sets the share of a group.
 
     Example: siskinshift group share editor treasurers 5
 
     Args:
         service_id: Name of the service.
         group_id: Name of the group.
-        share: Share it is owed, relative to the other groups.
-        revision: Revision that you have seen; 0 for whatever is current.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        share: Share of the group, relative to the other groups.
+        revision: Revision on which the change is based; 0 for the current one.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         change = operators.set_share(
             str(service_id),
@@ -115,7 +115,7 @@
             revision=revision,
             change_id=str(change_id),
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("group list")
@@ -123,18 +123,18 @@
     """Lists groups with their shares.
 
     Args:
-        service_id: Only this service; empty for all.
-        client: INI file with section [client].
-        output: text or json.
+        service_id: Name of the only service to list; empty for all.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         services = operators.list_services(str(service_id))
     if as_json:
-        return write_json([group for one in services for group in one.groups])
+        return format_json([group for service in services for group in service.groups])
     rows = [
-        (one.service_id, group.group_id, group.share, bool(group.credential_sha256))
-        for one in services
-        for group in one.groups
+        (service.service_id, group.group_id, group.share, bool(group.credential_sha256))
+        for service in services
+        for group in service.groups
     ]
-    return write_table(("service", "group", "share", "has token"), rows)
+    return format_table(("service", "group", "share", "has token"), rows)
--- a/src/siskinshift/console/commands/report.py
+++ b/src/siskinshift/console/commands/report.py
@@ -1,10 +1,10 @@
-"""Commands `report ...`: what the processes saw, for operators."""
+"""Commands `report ...`: prints reports from the metrics of processes."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-from siskinshift.console.arguments import endpoints_of
+from siskinshift.console.arguments import parse_endpoints_argument
 from siskinshift.console.registry import command
 
 
@@ -12,14 +12,14 @@
 def report_burn(settings: str, targets: str, output: str = "text") -> str:
     """Shows how fast each service's and group's error budget burns.
 
-    Asks each process for its metrics (metrics exporter prometheus).
+    Scrapes the metrics of each process, which needs the metrics exporter prometheus.
 
     Example: siskinshift report burn site.ini 10.0.0.1:9464,10.0.0.2:9464 --output html
 
     Args:
-        settings: INI file whose section [objectives] is used.
+        settings: Path of the INI file with section [objectives].
         targets: Metrics endpoints, comma-separated.
-        output: text, json or html.
+        output: Output format: text, json or html.
     """
     from siskinshift.report.burn_report import build_report
     from siskinshift.report.exceptions import MetricsUnreachableError
@@ -29,7 +29,7 @@
     from siskinshift.settings.loader import load_section
 
     objectives = load_section(Path(str(settings)), ObjectivesSettings)
-    endpoints = endpoints_of(targets)
+    endpoints = parse_endpoints_argument(targets)
     scrape = scrape_all(endpoints)
     if len(scrape.unreachable_endpoints) == len(endpoints):
         raise MetricsUnreachableError(
--- a/src/siskinshift/console/commands/service.py
+++ b/src/siskinshift/console/commands/service.py
@@ -7,16 +7,16 @@
 
 import attrs
 
-from siskinshift.console.arguments import endpoints_of
-from siskinshift.console.arguments import texts_of
+from siskinshift.console.arguments import parse_endpoints_argument
+from siskinshift.console.arguments import split_argument
 from siskinshift.console.exceptions import ArgumentError
-from siskinshift.console.operators import is_json
+from siskinshift.console.operators import format_accepted_change
+from siskinshift.console.operators import format_json
+from siskinshift.console.operators import format_table
+from siskinshift.console.operators import is_json_output
 from siskinshift.console.operators import operators_client
-from siskinshift.console.operators import write_accepted
-from siskinshift.console.operators import write_json
-from siskinshift.console.operators import write_table
 from siskinshift.console.registry import command
-from siskinshift.console.tokens import token_digest
+from siskinshift.console.tokens import read_token_digest
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.messages.core import Group
 from siskinshift.messages.core import Service
@@ -44,33 +44,36 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Creates a service, with its groups if they are named.
+    """Creates a service, optionally with groups.
 
     Example: siskinshift service create editor --addresses 10.0.0.1:443 \
       --mode request --upstream-class editor --groups treasurers=3,volunteers=1
 
     Args:
         service_id: Name of the service.
-        addresses: Addresses callers send to, comma-separated.
+        addresses: Addresses that callers send to, comma-separated.
         mode: request (HTTP/3) or datagram (any UDP protocol).
-        upstream_class: Agents of this class serve it.
-        importance: Higher goes first where services meet.
-        placement: Failure domains allowed, comma-separated; empty for all.
+        upstream_class: Class of the agents that serve the service.
+        importance: Priority over other services; higher values take precedence.
+        placement: Allowed failure domains, comma-separated; empty for all.
         groups: Groups with their shares, such as treasurers=3,volunteers=1.
-        tokens_folder: Folder with a file GROUP.token for each group; empty for none.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        tokens_folder: Folder with a file GROUP.token for each group; empty for no
+            tokens.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
-    service = _service(
+    as_json = is_json_output(output)
+    service = _build_service(
         service_id, addresses, mode, upstream_class, importance, placement
     )
-    named = tuple(_group(text, str(tokens_folder)) for text in texts_of(groups))
-    service = attrs.evolve(service, groups=named)
+    parsed_groups = tuple(
+        _parse_group(text, str(tokens_folder)) for text in split_argument(groups)
+    )
+    service = attrs.evolve(service, groups=parsed_groups)
     with operators_client(client) as operators:
         change = operators.create_service(service, change_id=str(change_id))
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("service replace")
@@ -86,36 +89,39 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Changes what is named and keeps the rest, groups included.
+    """Replaces the given values of a service and keeps the others and the groups.
 
-    Refused when another change came first: list again and decide anew.
+    The change is refused if the service has a newer revision. In that case list the
+    service again and review the change.
 
     Example: siskinshift service replace editor --revision 7 \
       --addresses 10.0.0.1:443,10.0.0.2:443
 
     Args:
         service_id: Name of the service.
-        revision: Revision that you have seen.
+        revision: Revision on which the change is based.
         addresses: New addresses, comma-separated.
         mode: New mode.
         upstream_class: New class.
         importance: New importance.
         placement: New failure domains; "" for all.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
-        known = _one_service(operators, str(service_id))
-        kept = ",".join(format_endpoint(one) for one in known.addresses)
-        changed = _service(
+        current = _find_service(operators, str(service_id))
+        current_addresses = ",".join(
+            format_endpoint(address) for address in current.addresses
+        )
+        changed = _build_service(
             service_id,
-            addresses or kept,
-            mode or known.mode.value,
-            upstream_class or known.upstream_class,
-            importance or known.importance,
-            ",".join(known.placement) if placement is None else placement,
+            addresses or current_addresses,
+            mode or current.mode.value,
+            upstream_class or current.upstream_class,
+            importance or current.importance,
+            ",".join(current.placement) if placement is None else placement,
         )
         change = operators.replace_service(
             Service(
@@ -123,14 +129,14 @@
                 addresses=changed.addresses,
                 mode=changed.mode,
                 upstream_class=changed.upstream_class,
-                groups=known.groups,
+                groups=current.groups,
                 importance=changed.importance,
                 placement=changed.placement,
             ),
             revision=revision,
             change_id=str(change_id),
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("service delete")
@@ -141,39 +147,39 @@
     client: str = "",
     output: str = "text",
 ) -> str:
-    """Deletes a service; its callers are no longer served.
+    """Deletes a service. Its callers are no longer served.
 
     Example: siskinshift service delete plans --revision 12
 
     Args:
         service_id: Name of the service.
-        revision: Revision that you have seen.
-        change_id: Id to find the change by; empty for a new one.
-        client: INI file with section [client].
-        output: text or json.
+        revision: Revision on which the change is based.
+        change_id: Id by which the change can be found; empty to generate one.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         change = operators.delete_service(
             str(service_id), revision=revision, change_id=str(change_id)
         )
-    return write_accepted(change, as_json=as_json)
+    return format_accepted_change(change, as_json=as_json)
 
 
 @command("service list")
 def list_services(service_id: str = "", client: str = "", output: str = "text") -> str:
-    """Lists the services in force on the balancer that answers.
+    """Lists the services in force on the balancer that responds.
 
     Args:
-        service_id: Only this one; empty for all.
-        client: INI file with section [client].
-        output: text or json.
+        service_id: Name of the only service to list; empty for all.
+        client: Path of the INI file with section [client].
+        output: Output format: text or json.
     """
-    as_json = is_json(output)
+    as_json = is_json_output(output)
     with operators_client(client) as operators:
         services = operators.list_services(str(service_id))
     if as_json:
-        return write_json(services)
+        return format_json(services)
     titles = (
         "service",
         "revision",
@@ -185,37 +191,37 @@
     )
     rows = [
         (
-            one.service_id,
-            one.revision,
-            one.mode.value,
-            one.upstream_class,
-            one.importance,
-            ",".join(format_endpoint(address) for address in one.addresses),
-            ",".join(one.evacuated) or "-",
+            service.service_id,
+            service.revision,
+            service.mode.value,
+            service.upstream_class,
+            service.importance,
+            ",".join(format_endpoint(address) for address in service.addresses),
+            ",".join(service.evacuated) or "-",
         )
-        for one in services
+        for service in services
     ]
-    return write_table(titles, rows)
+    return format_table(titles, rows)
 
 
-def _one_service(operators: OperatorsClient, service_id: str) -> Service:
+def _find_service(operators: OperatorsClient, service_id: str) -> Service:
     services = operators.list_services(service_id)
     if not services:
         raise ArgumentError(f"service {service_id!r} is not in force here")
     return services[0]
 
 
-def _group(text: str, tokens_folder: str) -> Group:
+def _parse_group(text: str, tokens_folder: str) -> Group:
     group_id, _, share = text.partition("=")
     if not share.isdecimal():
         raise ArgumentError(f"--groups {text}: allowed: NAME=SHARE, a whole number")
     digest = ""
     if tokens_folder:
-        digest = token_digest(Path(tokens_folder) / f"{group_id}.token")
+        digest = read_token_digest(Path(tokens_folder) / f"{group_id}.token")
     return Group(group_id=group_id, share=int(share), credential_sha256=digest)
 
 
-def _service(
+def _build_service(
     service_id: str,
     addresses: str,
     mode: str,
@@ -223,14 +229,14 @@
     importance: int,
     placement: str,
 ) -> Service:
-    allowed = [one.value for one in ServiceMode]
+    allowed = [known_mode.value for known_mode in ServiceMode]
     if mode not in allowed:
         raise ArgumentError(f"--mode {mode}: allowed: {', '.join(allowed)}")
     return Service(
         service_id=str(service_id),
-        addresses=tuple(endpoints_of(addresses)),
+        addresses=tuple(parse_endpoints_argument(addresses)),
         mode=ServiceMode(mode),
         upstream_class=str(upstream_class),
         importance=importance,
-        placement=tuple(texts_of(placement)),
+        placement=tuple(split_argument(placement)),
     )
--- a/src/siskinshift/console/exceptions.py
+++ b/src/siskinshift/console/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the command line."""
+"""Exceptions raised by the command line."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class ArgumentError(SiskinshiftError):
-    """An argument that can't be used."""
+    """An argument is not allowed."""
 
     kind = ErrorKind.INVALID_ARGUMENT
 
 
 class ChangeNotFoundError(SiskinshiftError):
-    """A change that is not among the latest that took effect."""
+    """The change is not among the latest ones that took effect."""
 
     kind = ErrorKind.NOT_FOUND
--- a/src/siskinshift/console/operators.py
+++ b/src/siskinshift/console/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: the client and the writing of answers."""
+"""Client and output formatting shared by the operators' commands."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 @contextmanager
 def operators_client(client_file: str) -> Iterator[OperatorsClient]:
-    """Opens a client as the file's section [client] says, and closes it.
+    """Opens a client for the section [client] of a file, and closes it on exit.
 
     Args:
-        client_file: Path of the INI file; empty for the one that the environment
-            variable SISKINSHIFT_CLIENT names, else client.ini.
+        client_file: Path of the INI file. If empty, the path is the value of the
+            environment variable SISKINSHIFT_CLIENT, or client.ini if it is not set.
 
     Yields:
         The client.
 
     Raises:
-        SettingsError: The file can't be read or a value is not allowed.
+        SettingsError: The file can't be read, or a value is not allowed.
         ArgumentError: The file with the authority's certificates can't be read.
     """
-    # gRPC takes a while to import; commands without it must not pay.
+    # Imported here because importing gRPC is slow and other commands do not need it.
     from siskinshift.api.client import ClientSettings
     from siskinshift.api.client import OperatorsClient
     from siskinshift.settings.generated import ClientSettings as ClientSection
@@ -73,29 +73,29 @@
         raise ArgumentError(f"authority_file {path}: {error.strerror}") from error
 
 
-def write_json(value: object) -> str:
-    """Writes an attrs instance, or a sequence of them, as one line of JSON.
+def format_json(value: object) -> str:
+    """Formats an attrs instance, or a sequence of them, as one line of JSON.
 
     Args:
-        value: What to write.
+        value: The value to format.
 
     Returns:
         The JSON.
     """
     if isinstance(value, list | tuple):
-        return orjson.dumps([_plain(one) for one in value]).decode()
-    return orjson.dumps(_plain(value)).decode()
+        return orjson.dumps([_to_plain(item) for item in value]).decode()
+    return orjson.dumps(_to_plain(value)).decode()
 
 
-def write_table(titles: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Writes aligned columns.
+def format_table(titles: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
+    """Formats rows as aligned columns.
 
     Args:
         titles: Titles of the columns.
         rows: Cells of each row.
 
     Returns:
-        The table; its title line alone when there are no rows.
+        The table; only the title line if there are no rows.
     """
     lines = [list(titles), *([str(cell) for cell in row] for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(titles))]
@@ -107,53 +107,53 @@
     )
 
 
-def write_accepted(change: AcceptedChange, *, as_json: bool) -> str:
-    """Writes an accepted change.
+def format_accepted_change(change: AcceptedChange, *, as_json: bool) -> str:
+    """Formats an accepted change.
 
     Args:
         change: The change.
-        as_json: Whether a machine reads it.
+        as_json: Whether to format as JSON.
 
     Returns:
-        The text.
+        The formatted text.
     """
     if as_json:
-        return write_json(change)
+        return format_json(change)
     return f"accepted at revision {change.revision}"
 
 
-def write_all_accepted(changes: Sequence[AcceptedChange], *, as_json: bool) -> str:
-    """Writes accepted changes of several services.
+def format_accepted_changes(changes: Sequence[AcceptedChange], *, as_json: bool) -> str:
+    """Formats accepted changes of several services.
 
     Args:
         changes: The changes.
-        as_json: Whether a machine reads it.
+        as_json: Whether to format as JSON.
 
     Returns:
-        The text.
+        The formatted text.
     """
     if as_json:
-        return write_json(changes)
+        return format_json(changes)
     lines = [f"{c.service_id}: accepted at revision {c.revision}" for c in changes]
     return "\n".join(lines) or "no service is in force here"
 
 
-def is_json(output: str) -> bool:
-    """Reads the argument `output`.
+def is_json_output(output: str) -> bool:
+    """Parses the argument `output`.
 
     Args:
-        output: What the operator wrote.
+        output: Value of the argument.
 
     Returns:
-        Whether JSON is asked for.
+        Whether the output format is JSON.
 
     Raises:
-        ArgumentError: It is neither text nor JSON.
+        ArgumentError: The value is neither text nor json.
     """
     if output not in OUTPUTS:
         raise ArgumentError(f"--output {output}: allowed: {', '.join(OUTPUTS)}")
     return output == "json"
 
 
-def _plain(value: object) -> object:
+def _to_plain(value: object) -> object:
     return asdict(value) if has(type(value)) else value  # type: ignore[arg-type]
--- a/src/siskinshift/console/processes.py
+++ b/src/siskinshift/console/processes.py
@@ -1,4 +1,4 @@
-"""Runs an application in the foreground until a signal ends it."""
+"""Runs an application in the foreground until it receives a termination signal."""
 
 from __future__ import annotations
 
@@ -9,53 +9,58 @@
 from typing import runtime_checkable
 
 
-ENDING_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT})
-# How soon the end of leaving is seen; nobody waits for less.
-POLL_SECONDS = 0.1
+TERMINATION_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT})
+# Delay until the end of a graceful leave is detected; a shorter one would not matter.
+POLL_INTERVAL_SECONDS = 0.1
 
 
 class Startable(Protocol):
-    """Something with a life cycle."""
+    """An application that can be started and stopped."""
 
     def start(self) -> None:
-        """Starts."""
+        """Starts the application."""
 
     def stop(self) -> None:
-        """Stops."""
+        """Stops the application."""
 
 
 @runtime_checkable
-class Leaving(Protocol):
-    """Something that can leave without cutting what is in progress."""
+class SupportsLeave(Protocol):
+    """An application that can leave without interrupting work in progress."""
 
     def leave(self, stop_now: threading.Event) -> None:
-        """Leaves; returns early when the event is set."""
+        """Leaves gracefully; returns early if the event is set."""
 
 
 def run_until_signal(application: Startable) -> None:
-    """Runs the application; the first signal lets it leave, the second ends it.
+    """Runs an application until it is terminated by signals.
 
-    The signals are blocked and waited for. A handler that sets an event would hang
-    the process for ever when the signal comes while the main thread, on its way
-    into the wait, holds the event's lock: the handler runs on that same thread.
+    The first signal starts a graceful leave and the second one ends it early.
+
+    The signals are blocked and received with `sigwait`. A signal handler that sets an
+    event could deadlock: handlers run on the main thread, which may already hold the
+    event's lock when it enters the wait.
 
     Args:
-        application: What to run.
+        application: The application to run.
     """
-    # Threads inherit the mask, so it is set before any of them starts.
-    signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
+    # Threads inherit the signal mask, so it is set before any thread starts.
+    signal.pthread_sigmask(signal.SIG_BLOCK, TERMINATION_SIGNALS)
     application.start()
-    signal.sigwait(ENDING_SIGNALS)
-    if isinstance(application, Leaving):
+    signal.sigwait(TERMINATION_SIGNALS)
+    if isinstance(application, SupportsLeave):
         _leave(application)
     application.stop()
 
 
-def _leave(application: Leaving) -> None:
+def _leave(application: SupportsLeave) -> None:
     stop_now = threading.Event()
     with ThreadPoolExecutor(1, "leave") as executor:
-        left = executor.submit(application.leave, stop_now)
-        while not left.done():
-            if signal.sigtimedwait(ENDING_SIGNALS, POLL_SECONDS) is not None:
+        leave_future = executor.submit(application.leave, stop_now)
+        while not leave_future.done():
+            if (
+                signal.sigtimedwait(TERMINATION_SIGNALS, POLL_INTERVAL_SECONDS)
+                is not None
+            ):
                 stop_now.set()
-    left.result()
+    leave_future.result()
--- a/src/siskinshift/console/registry.py
+++ b/src/siskinshift/console/registry.py
@@ -1,4 +1,4 @@
-"""Registry of commands, filled by a decorator in each command's module."""
+"""Registers commands through a decorator in the module of each command."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """Registers the decorated function as a command.
 
     Args:
-        name: Name on the command line; "group name" for a command of a group.
+        name: Name on the command line; "group name" for a command in a command group.
 
     Returns:
         The decorator.
@@ -28,18 +28,20 @@
 
     def register(function: Command) -> Command:
         group, _, own_name = name.rpartition(" ")
-        holder = _commands_by_name.setdefault(group, {}) if group else _commands_by_name
-        holder[own_name] = function
+        commands_by_name = (
+            _commands_by_name.setdefault(group, {}) if group else _commands_by_name
+        )
+        commands_by_name[own_name] = function
         return function
 
     return register
 
 
 def load_commands() -> dict[str, Any]:
-    """Imports all command modules.
+    """Imports all command modules, which register their commands.
 
     Returns:
-        Commands by name; groups are dictionaries of their own.
+        Commands by name; a command group is a nested dictionary.
     """
     for module in pkgutil.iter_modules(commands.__path__):
         importlib.import_module(f"{commands.__name__}.{module.name}")
--- a/src/siskinshift/console/tokens.py
+++ b/src/siskinshift/console/tokens.py
@@ -1,4 +1,7 @@
-"""Bearer tokens of groups: only their digests go into the configuration."""
+"""Reads bearer tokens of groups from files.
+
+Only the digest of a token is stored in the configuration.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
         The token.
 
     Raises:
-        ArgumentError: The file can't be read or is empty.
+        ArgumentError: The file can't be read, or it is empty.
     """
     try:
         token = path.read_text(encoding="utf-8").strip()
@@ -33,8 +36,8 @@
     return token
 
 
-def token_digest(path: Path) -> str:
-    """Digests a token as the configuration holds it.
+def read_token_digest(path: Path) -> str:
+    """Reads a token and returns its digest as stored in the configuration.
 
     Args:
         path: File with the token on one line.
@@ -43,6 +46,6 @@
         SHA-256 digest in hex.
 
     Raises:
-        ArgumentError: The file can't be read or is empty.
+        ArgumentError: The file can't be read, or it is empty.
     """
     return hashlib.sha256(read_token(path).encode()).hexdigest()
