--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -138,16 +138,16 @@
         self._life_cycle.drain(now=monotonic_clock())
         self._runner.refuse_peer_requests()
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Drains and waits for open flows and requests, up to the drain timeout.
 
         Args:
-            at_once: Ends the wait when set.
+            stop_now: Ends the wait when set.
         """
         self.drain()
         deadline = monotonic_clock() + self.settings.agent.drain_timeout
         while not self._is_drain_complete() and monotonic_clock() < deadline:
-            if at_once.wait(TICK_SECONDS):
+            if stop_now.wait(TICK_SECONDS):
                 return
 
     def _is_drain_complete(self) -> bool:
--- a/src/siskinshift/api/service.py
+++ b/src/siskinshift/api/service.py
@@ -25,7 +25,7 @@
 from siskinshift.configuration.exceptions import RevisionConflictError
 from siskinshift.core.errors import ANSWERS_BY_KIND
 from siskinshift.exceptions import SiskinshiftError
-from siskinshift.observability.logs import PartLog
+from siskinshift.observability.logs import ComponentLog
 
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     from siskinshift.settings.generated import Settings
 
 
-_log = PartLog("operators-api")
+_log = ComponentLog("operators-api")
 
 # Interval at which a watch call checks whether its client has disconnected.
 WATCH_POLL_SECONDS = 0.5
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -95,19 +95,19 @@
         self.owns(self._operators_server.stop)
         self._operators_server.start()
 
-    def leave(self, at_once: threading.Event) -> None:
+    def leave(self, stop_now: threading.Event) -> None:
         """Continues forwarding until the fabric has stopped sending.
 
         No flow depends on a balancer. Stopping earlier would only lose datagrams in
         flight to it.
 
         Args:
-            at_once: Ends the wait when set.
+            stop_now: Ends the wait when set.
         """
         self.membership.change_own(state=MemberState.DRAINING, weight=0)
         deadline = monotonic_clock() + MAX_LEAVE_SECONDS
         while monotonic_clock() < min(deadline, self._last_received_at + QUIET_SECONDS):
-            if at_once.wait(QUIET_SECONDS / 10):
+            if stop_now.wait(QUIET_SECONDS / 10):
                 return
 
     def _on_view(self, view: View) -> None:
--- a/src/siskinshift/console/commands/agent.py
+++ b/src/siskinshift/console/commands/agent.py
@@ -1,4 +1,4 @@
-"""Command `agent`: runs the process."""
+"""Command `agent`: runs the agent process."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     Args:
         settings: Path of the INI file.
     """
-    # Imported here so that other commands don't pay for it.
+    # Imported here so that other commands start without loading these modules.
     from siskinshift.agent.application import AgentApplication
-    from siskinshift.observability.logs import open_logs
+    from siskinshift.observability.logs import configure_logs
     from siskinshift.settings.loader import load_settings
 
     loaded = load_settings(Path(settings))
-    open_logs(loaded.logs)
+    configure_logs(loaded.logs)
     run_until_signal(AgentApplication(loaded))
