--- a/src/siskinshift/configuration/validation.py
+++ b/src/siskinshift/configuration/validation.py
@@ -10,7 +10,7 @@
 
 from siskinshift.configuration.exceptions import InvalidChangeError
 from siskinshift.configuration.exceptions import NameTakenError
-from siskinshift.core.endpoints import PORT_MAXIMUM
+from siskinshift.core.endpoints import MAX_PORT
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.messages.core import Endpoint
 
@@ -147,8 +147,8 @@
         raise InvalidChangeError(f"address {address.host!r}: no IP number") from error
     if number.is_unspecified or number.is_multicast:
         raise InvalidChangeError(f"address {address.host!r}: not one host's number")
-    if not 1 <= address.port <= PORT_MAXIMUM:
-        raise InvalidChangeError(f"port {address.port}: allowed 1 to {PORT_MAXIMUM}")
+    if not 1 <= address.port <= MAX_PORT:
+        raise InvalidChangeError(f"port {address.port}: allowed 1 to {MAX_PORT}")
     return Endpoint(str(number), address.port)
 
 
--- a/src/siskinshift/core/endpoints.py
+++ b/src/siskinshift/core/endpoints.py
@@ -7,7 +7,7 @@
 from siskinshift.messages.core import Endpoint
 
 
-PORT_MAXIMUM = 65535
+MAX_PORT = 65535
 
 
 def parse_endpoint(text: str) -> Endpoint:
@@ -29,8 +29,8 @@
         port = int(port_text)
     except ValueError as error:
         raise ValueError("allowed: an IP number, a colon and a port") from error
-    if not 0 <= port <= PORT_MAXIMUM:
-        raise ValueError(f"allowed: a port from 0 to {PORT_MAXIMUM}")
+    if not 0 <= port <= MAX_PORT:
+        raise ValueError(f"allowed: a port from 0 to {MAX_PORT}")
     return Endpoint(host=host, port=port)
 
 
