--- a/src/siskinshift/agent/answers.py
+++ b/src/siskinshift/agent/answers.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     Returns:
         Fields of HTTP/3.
     """
-    answer = ANSWERS_BY_KIND[error]
+    answer = ERROR_RESPONSES_BY_KIND[error]
     fields = [
         (":status", str(answer.http_status)),
         (OUTCOME_HEADER, answer.outcome.value),
--- a/src/siskinshift/agent/observed_reply.py
+++ b/src/siskinshift/agent/observed_reply.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.core.errors import ErrorKind
 from siskinshift.messages.core import OutcomeKind
 
@@ -60,7 +60,7 @@
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
         """Gives the final answer for a request that has none of the upstream."""
         if error not in UNCOUNTED_KINDS:
-            self._report_once(ANSWERS_BY_KIND[error].outcome)
+            self._report_once(ERROR_RESPONSES_BY_KIND[error].outcome)
         self._reply.fail(error, retry_after=retry_after)
 
     def _report_once(self, outcome: OutcomeKind) -> None:
--- a/src/siskinshift/api/service.py
+++ b/src/siskinshift/api/service.py
@@ -23,7 +23,7 @@
 from siskinshift.api.protocol import ERROR_KIND_KEY
 from siskinshift.api.requests import change_from
 from siskinshift.configuration.exceptions import RevisionConflictError
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.exceptions import SiskinshiftError
 from siskinshift.observability.logs import PartLog
 
@@ -66,7 +66,7 @@
     if isinstance(error, RevisionConflictError):
         metadata.append((CURRENT_REVISION_KEY, str(error.current_revision)))
     context.set_trailing_metadata(metadata)
-    code = ANSWERS_BY_KIND[error.kind].grpc_code
+    code = ERROR_RESPONSES_BY_KIND[error.kind].grpc_code
     context.abort(grpc.StatusCode[code], str(error))
 
 
--- a/src/siskinshift/connections/run.py
+++ b/src/siskinshift/connections/run.py
@@ -5,7 +5,7 @@
 import sys
 from typing import TYPE_CHECKING
 
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.exceptions import SiskinshiftError
 from siskinshift.messages.core import Role
 from siskinshift.platform.settings import load_node_settings
@@ -38,7 +38,7 @@
         node = _make_node(role, load_node_settings(settings_path()))
     except SiskinshiftError as error:
         print(f"siskinshift: {error.code}: {error}", file=sys.stderr)
-        return ANSWERS_BY_KIND[error.kind].exit_code
+        return ERROR_RESPONSES_BY_KIND[error.kind].exit_code
     node.start()
     try:
         node.run()
--- a/src/siskinshift/console/application.py
+++ b/src/siskinshift/console/application.py
@@ -7,7 +7,7 @@
 import fire
 
 from siskinshift.console.registry import load_commands
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.core.errors import ErrorKind
 from siskinshift.exceptions import SiskinshiftError
 
@@ -21,7 +21,7 @@
         fire.Fire(load_commands(), name="siskinshift")
     except SiskinshiftError as error:
         print(f"siskinshift: {error.code}: {error}{_advice(error)}", file=sys.stderr)
-        sys.exit(ANSWERS_BY_KIND[error.kind].exit_code)
+        sys.exit(ERROR_RESPONSES_BY_KIND[error.kind].exit_code)
     except KeyboardInterrupt:
         sys.exit(INTERRUPTED_EXIT_CODE)
     except BrokenPipeError:
--- a/src/siskinshift/control/server.py
+++ b/src/siskinshift/control/server.py
@@ -21,7 +21,7 @@
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.control.signatures import sign_reply
 from siskinshift.control.signatures import verifies_message
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.core.errors import ErrorKind
 from siskinshift.exceptions import SiskinshiftError
 from siskinshift.messages.control import ErrorReply
@@ -101,7 +101,7 @@
 
 def _refusal(kind: ErrorKind, detail: str) -> ControlAnswer:
     body = encode_message(ErrorReply(error=kind.value, detail=detail))
-    return ControlAnswer(ANSWERS_BY_KIND[kind].http_status, body)
+    return ControlAnswer(ERROR_RESPONSES_BY_KIND[kind].http_status, body)
 
 
 class _ControlHandler(BaseHTTPRequestHandler):
--- a/src/siskinshift/core/errors.py
+++ b/src/siskinshift/core/errors.py
@@ -75,7 +75,7 @@
 _NOT_RUN = OutcomeKind.NOT_RUN
 _UNKNOWN = OutcomeKind.UNKNOWN
 
-ANSWERS_BY_KIND: dict[ErrorKind, Answer] = {
+ERROR_RESPONSES_BY_KIND: dict[ErrorKind, Answer] = {
     ErrorKind.INVALID_ARGUMENT: Answer(_NOT_RUN, 400, "INVALID_ARGUMENT", 2, False),
     ErrorKind.NOT_FOUND: Answer(_NOT_RUN, 404, "NOT_FOUND", 3, False),
     ErrorKind.ALREADY_EXISTS: Answer(_NOT_RUN, 409, "ALREADY_EXISTS", 4, False),
