--- a/src/siskinshift/core/http.py
+++ b/src/siskinshift/core/http.py
@@ -6,7 +6,7 @@
 
 
 @frozen
-class HttpAnswer:
+class HttpResponse:
     """Answer to a call.
 
     Attributes:
--- a/src/siskinshift/kv/transport.py
+++ b/src/siskinshift/kv/transport.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from siskinshift.core.http import HttpAnswer
+from siskinshift.core.http import HttpResponse
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
 
@@ -41,7 +41,7 @@
 class EtcdTransport(Protocol):
     """Carries calls to the store."""
 
-    def post(self, path: str, body: bytes) -> HttpAnswer:
+    def post(self, path: str, body: bytes) -> HttpResponse:
         """Makes a call.
 
         Raises:
@@ -64,14 +64,14 @@
         self._settings = settings
         self._next = 0
 
-    def post(self, path: str, body: bytes) -> HttpAnswer:
+    def post(self, path: str, body: bytes) -> HttpResponse:
         """Makes a call; see EtcdTransport."""
         until = time.monotonic() + self._settings.timeout
         connection = self._connect()
         try:
             connection.request("POST", path, body=body)
             response = connection.getresponse()
-            return HttpAnswer(response.status, _read_whole(response, until))
+            return HttpResponse(response.status, _read_whole(response, until))
         except (OSError, http.client.HTTPException) as error:
             self._next += 1
             raise StoreOutcomeUnknownError(f"answer lost: {error}") from error
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -44,7 +44,7 @@
 
     from siskinshift.connections.node_settings import StoreSettings
     from siskinshift.core.clocks import Clock
-    from siskinshift.core.http import HttpAnswer
+    from siskinshift.core.http import HttpResponse
     from siskinshift.kv.port import Compare
     from siskinshift.kv.port import Operation
     from siskinshift.runtime.http_client import Transfer
@@ -250,26 +250,28 @@
                 return Snapshot(tuple(entries), revision)
             query["after"] = entries[-1].key
 
-    def _read(self, target: str) -> HttpAnswer:
+    def _read(self, target: str) -> HttpResponse:
         return self._idempotent(self._readings, "GET", target, b"")
 
-    def _call(self, method: str, target: str, body: object = None) -> HttpAnswer:
+    def _call(self, method: str, target: str, body: object = None) -> HttpResponse:
         data = b"" if body is None else encode_json(body)
         return self._idempotent(self._calls, method, target, data)
 
-    def _write(self, method: str, target: str, body: object) -> HttpAnswer:
+    def _write(self, method: str, target: str, body: object) -> HttpResponse:
         return self._carry(self._calls, method, target, encode_json(body))
 
     def _idempotent(
         self, lane: _Lane, method: str, target: str, body: bytes
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         # A call that may be repeated has no unknown outcome.
         try:
             return self._carry(lane, method, target, body)
         except StoreOutcomeUnknownError as error:
             raise StoreUnavailableError(str(error)) from error
 
-    def _carry(self, lane: _Lane, method: str, target: str, body: bytes) -> HttpAnswer:
+    def _carry(
+        self, lane: _Lane, method: str, target: str, body: bytes
+    ) -> HttpResponse:
         with lane.lock:
             self._admit()
             timeout = lengthened(CALL_TIMEOUT_SECONDS, failures=lane.failures)
@@ -291,7 +293,7 @@
         body: bytes,
         *,
         timeout: float,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Makes a call that was admitted and tells the guard how it went.
 
         Args:
@@ -410,7 +412,7 @@
             raise StoreUnavailableError("answer can't be read") from error
 
 
-def _document_of(answer: HttpAnswer) -> dict[str, Any]:
+def _document_of(answer: HttpResponse) -> dict[str, Any]:
     if answer.status != HTTPStatus.OK:
         raise StoreUnavailableError(f"refused with status {answer.status}")
     try:
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -12,7 +12,7 @@
 from attrs import define
 from attrs import frozen
 
-from siskinshift.core.http import HttpAnswer
+from siskinshift.core.http import HttpResponse
 
 
 READ_BYTES = 262144
@@ -130,7 +130,7 @@
 
     def call(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Makes a call.
 
         Args:
@@ -181,7 +181,7 @@
 
     def _exchange(
         self, method: str, target: str, body: bytes, timeout: float
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         connection = self._connect(timeout)
         head = (
             f"{method} {target} HTTP/1.1\r\n"
@@ -217,7 +217,7 @@
             return connection
         return self._socket
 
-    def _read(self, connection: socket.socket, timeout: float) -> HttpAnswer:
+    def _read(self, connection: socket.socket, timeout: float) -> HttpResponse:
         reader = _AnswerReader()
         parser = httptools.HttpResponseParser(reader)
         give_up_at = time.monotonic() + timeout + FLOWING_SECONDS_MAXIMUM
@@ -235,7 +235,7 @@
             connection.settimeout(min(timeout, PART_SECONDS_MAXIMUM))
         if not parser.should_keep_alive():
             self._disconnect()
-        return HttpAnswer(parser.get_status_code(), b"".join(reader.parts))
+        return HttpResponse(parser.get_status_code(), b"".join(reader.parts))
 
 
 def _notice_silence(connection: socket.socket) -> None:
--- a/src/siskinshift/standins/kv_direct.py
+++ b/src/siskinshift/standins/kv_direct.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from siskinshift.core.http import HttpAnswer
+from siskinshift.core.http import HttpResponse
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
 from siskinshift.standins.kv_state import AnswerLost
@@ -24,7 +24,7 @@
     def __init__(self, state: KvState) -> None:
         self._state = state
 
-    def post(self, path: str, body: bytes) -> HttpAnswer:
+    def post(self, path: str, body: bytes) -> HttpResponse:
         """Makes a call.
 
         Args:
@@ -42,7 +42,9 @@
         except AnswerLost as error:
             raise StoreOutcomeUnknownError("lost") from error
         garbage = self._state.faults.garbage
-        return HttpAnswer(status, orjson.dumps(answer) if garbage is None else garbage)
+        return HttpResponse(
+            status, orjson.dumps(answer) if garbage is None else garbage
+        )
 
     def stream(self, path: str, body: bytes) -> OneShotStream:
         """Opens a watch.
