--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -41,7 +41,7 @@
 from siskinshift.platform.packets import decode_from_caller
 from siskinshift.platform.packets import decode_from_upstream
 from siskinshift.runtime.event_loop import open_datagram_socket
-from siskinshift.runtime.http_server import HttpReply
+from siskinshift.runtime.http_server import ServerResponse
 
 
 if TYPE_CHECKING:
@@ -244,21 +244,21 @@
         self._on_upstream_reachable()
         self.perform(self.flows.on_upstream_segment(segment, now=now))
 
-    def _handle_upstream_request(self, request: HttpRequest) -> HttpReply:
+    def _handle_upstream_request(self, request: HttpRequest) -> ServerResponse:
         try:
             message = decode_upstream_call(request)
         except BadMessageError as error:
             # The sender is not this instance's upstream and may send at any rate.
             self.log.decision("heartbeat refused", error=str(error), path=request.path)
-            return HttpReply(400)
+            return ServerResponse(400)
         if message is None:
-            return HttpReply(404)
+            return ServerResponse(404)
         # Acknowledged only once applied: balancers have been notified, and the agent
         # refuses new flows from now on if the upstream leaves.
         self.loop.call(lambda: self._on_upstream_message(message)).result(
             LOOP_CALL_TIMEOUT_SECONDS
         )
-        return HttpReply(200, ACKNOWLEDGEMENT)
+        return ServerResponse(200, ACKNOWLEDGEMENT)
 
     def _on_upstream_message(self, message: Heartbeat | Deregistration) -> None:
         now = self.clock()
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -38,7 +38,7 @@
 from siskinshift.platform.store import PlatformStore
 from siskinshift.runtime.event_loop import open_datagram_socket
 from siskinshift.runtime.http_client import HttpClient
-from siskinshift.runtime.http_server import HttpReply
+from siskinshift.runtime.http_server import ServerResponse
 
 
 if TYPE_CHECKING:
@@ -389,31 +389,31 @@
         if self._peer_client is not None:
             self._peer_client.close()
 
-    def answer_peer(self, request: HttpRequest) -> HttpReply:
+    def answer_peer(self, request: HttpRequest) -> ServerResponse:
         """Serves configuration and evacuations to peers, stores agents' snapshots."""
         if request.path == CONFIGURATION_PATH:
             value = self._configuration_value
-            return HttpReply(200, value) if value else HttpReply(503)
+            return ServerResponse(200, value) if value else ServerResponse(503)
         current = self.evacuations.current
         self.log.metrics.set_gauge("evacuated_domains", len(current.domains))
         self.log.metrics.set_gauge("evacuations_revision", current.revision)
         if request.path == EVACUATIONS_PATH:
-            return HttpReply(200, encode_evacuations(current))
+            return ServerResponse(200, encode_evacuations(current))
         if request.path.startswith(FLOW_LIST_PATH):
             return self._store_flow_snapshot(request)
         return super().answer_peer(request)
 
-    def _store_flow_snapshot(self, request: HttpRequest) -> HttpReply:
+    def _store_flow_snapshot(self, request: HttpRequest) -> ServerResponse:
         member_id = request.path.removeprefix(FLOW_LIST_PATH)
         if not 0 < len(member_id) <= MAX_MEMBER_ID_LENGTH:
             self.log.decision("flow list refused", reason="name", path=request.path)
-            return HttpReply(400)
+            return ServerResponse(400)
         is_retry = request.query == AGAIN_QUERY
         write = self._snapshot_writer.hand_over(
             member_id, request.body, is_again=is_retry
         )
         try:
-            return HttpReply(200 if write.result(WRITTEN_SECONDS) else 503)
+            return ServerResponse(200 if write.result(WRITTEN_SECONDS) else 503)
         except TimeoutError:
             # The snapshot may still be written; the agent uploads it again.
-            return HttpReply(503)
+            return ServerResponse(503)
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -40,8 +40,8 @@
 from siskinshift.platform.store import PlatformStore
 from siskinshift.runtime.event_loop import EventLoop
 from siskinshift.runtime.event_loop import open_datagram_socket
-from siskinshift.runtime.http_server import HttpReply
 from siskinshift.runtime.http_server import HttpServer
+from siskinshift.runtime.http_server import ServerResponse
 from siskinshift.runtime.life_cycle import LifeCycle
 from siskinshift.settings.exceptions import SettingsError
 
@@ -468,7 +468,7 @@
         while not self.stopping.is_set():
             self.stopping.wait(self._registration.step(now=self.clock()))
 
-    def answer_peer(self, request: HttpRequest) -> HttpReply:
+    def answer_peer(self, request: HttpRequest) -> ServerResponse:
         """Answers calls of peers and of whoever collects metrics.
 
         Args:
@@ -478,19 +478,19 @@
             The answer.
         """
         if request.path != METRICS_PATH:
-            return HttpReply(404)
+            return ServerResponse(404)
         metrics = self.log.metrics
         metrics.set_gauge("flows", self.load.flows)
         metrics.set_gauge("requests_running", self.load.running)
         metrics.set_gauge("peers", len(self.fleet.peers_by_id))
         metrics.set_gauge("configuration_version", self.configuration_version)
         metrics.set_gauge("log_lines_dropped", self.log.dropped)
-        return HttpReply(200, metrics.render().encode(), METRICS_TYPE)
+        return ServerResponse(200, metrics.render().encode(), METRICS_TYPE)
 
-    def _answer_readiness(self, request: HttpRequest) -> HttpReply:
+    def _answer_readiness(self, request: HttpRequest) -> ServerResponse:
         if request.path != READINESS_PATH:
-            return HttpReply(404)
-        return HttpReply(200 if self.is_ready else 503)
+            return ServerResponse(404)
+        return ServerResponse(200 if self.is_ready else 503)
 
     def _leave(self) -> None:
         if self.is_leaving:
--- a/src/siskinshift/runtime/http_server.py
+++ b/src/siskinshift/runtime/http_server.py
@@ -53,7 +53,7 @@
 
 
 @frozen
-class HttpReply:
+class ServerResponse:
     """An answer.
 
     Attributes:
@@ -67,7 +67,7 @@
     content_type: str = "application/json"
 
 
-Handler: TypeAlias = Callable[[HttpRequest], HttpReply]
+Handler: TypeAlias = Callable[[HttpRequest], ServerResponse]
 
 
 @define
@@ -194,7 +194,7 @@
         connection.sendall(head.encode() + reply.body)
         return bool(parser.should_keep_alive())
 
-    def _answer(self, request: HttpRequest) -> HttpReply:
+    def _answer(self, request: HttpRequest) -> ServerResponse:
         try:
             return self._handler(request)
         except OSError:
@@ -202,4 +202,4 @@
         except Exception as error:
             # Guards against one bad request that ends the connection of a good peer.
             self._log.fact("request failed", path=request.path, error=repr(error))
-            return HttpReply(400)
+            return ServerResponse(400)
--- a/src/siskinshift/standins/platform_store.py
+++ b/src/siskinshift/standins/platform_store.py
@@ -21,8 +21,8 @@
 from attrs import define
 from attrs import frozen
 
-from siskinshift.runtime.http_server import HttpReply
 from siskinshift.runtime.http_server import HttpServer
+from siskinshift.runtime.http_server import ServerResponse
 
 
 if TYPE_CHECKING:
@@ -296,7 +296,7 @@
             self.state.revoke(key)
             self._changed.notify_all()
 
-    def _answer(self, request: HttpRequest) -> HttpReply:
+    def _answer(self, request: HttpRequest) -> ServerResponse:
         wait_ms = float(parse_qs(request.query).get("wait-ms", ["0"])[0])
         until = time.monotonic() + wait_ms / MILLISECONDS
         with self._changed:
@@ -313,7 +313,7 @@
             self._changed.notify_all()
         if self.state.faults.latency:
             time.sleep(self.state.faults.latency)
-        return HttpReply(status, orjson.dumps(document))
+        return ServerResponse(status, orjson.dumps(document))
 
 
 def _document(key: str, item: _Item) -> Document:
