--- a/src/siskinshift/control/signatures.py
+++ b/src/siskinshift/control/signatures.py
@@ -58,7 +58,7 @@
         return False
     if abs(age) > REPLAY_WINDOW_MILLISECONDS:
         return False
-    return key_ring.verifies(_message_text(path, time_text, body), authenticator)
+    return key_ring.verify(_message_text(path, time_text, body), authenticator)
 
 
 def sign_reply(key_ring: KeyRing, message_signature: str, body: bytes) -> str:
@@ -93,7 +93,7 @@
         authenticator = bytes.fromhex(signature)
     except ValueError:
         return False
-    return key_ring.verifies(_reply_text(message_signature, body), authenticator)
+    return key_ring.verify(_reply_text(message_signature, body), authenticator)
 
 
 def _message_text(path: str, time_text: str, body: bytes) -> bytes:
--- a/src/siskinshift/core/keyring.py
+++ b/src/siskinshift/core/keyring.py
@@ -32,7 +32,7 @@
         """
         return _digest(self._keys[0], data)
 
-    def verifies(self, data: bytes, authenticator: bytes) -> bool:
+    def verify(self, data: bytes, authenticator: bytes) -> bool:
         """Checks an authenticator against each accepted key.
 
         Args:
--- a/src/siskinshift/wire/codec.py
+++ b/src/siskinshift/wire/codec.py
@@ -128,7 +128,7 @@
         fields, authenticator = _split_tlvs(header)
         payload = datagram[end:]
         signed = _signed_bytes(header.address_block, fields, payload)
-        if not self._key_ring.verifies(signed, authenticator):
+        if not self._key_ring.verify(signed, authenticator):
             raise BadAuthenticatorError
         if len(fields) < _ENVELOPE.size:
             raise BadHeaderError
