--- a/src/siskinshift/core/packets.py
+++ b/src/siskinshift/core/packets.py
@@ -30,7 +30,7 @@
         packet: The caller's datagram.
         hop_count: Times it was passed on between agents; 0 from a balancer.
         view_version: The sender's view, for diagnosis.
-        asker_id: Agent that is looking for the flow's owner; empty if none is. In an
+        querier_id: Agent that is looking for the flow's owner; empty if none is. In an
             answer to the asker, the agent that answers.
         exhausted: Answer: nobody owns the flow, and the asker may create it.
         disclaimed: Answer: the agent that was asked does not own the flow and can't
@@ -40,6 +40,6 @@
     packet: Packet
     hop_count: int = 0
     view_version: int = 0
-    asker_id: str = ""
+    querier_id: str = ""
     exhausted: bool = False
     disclaimed: bool = False
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -258,21 +258,21 @@
         now: float,
     ) -> list[FlowAction]:
         owner_id = claim.owners_by_flow.get(digest)
-        if owner_id is not None and owner_id != envelope.asker_id:
+        if owner_id is not None and owner_id != envelope.querier_id:
             if claim.is_complete and digest in claim.permitted:
                 # The permission may still be in flight, or lost.
                 version = claim.versions_by_flow[digest]
                 return self._permit(claim, digest, envelope, owner_id, version)
             return self._query(owner_id, state, digest, envelope, now=now)
         if claim.is_complete:
-            asker_id = envelope.asker_id
-            if asker_id and not self._handover.is_live(asker_id):
+            querier_id = envelope.querier_id
+            if querier_id and not self._handover.is_live(querier_id):
                 # The note would be dropped together with the gone peer, and another
                 # agent would create the flow a second time.
                 return [DropEnvelope(ErrorKind.NO_MEMBER)]
-            if asker_id:
+            if querier_id:
                 version = envelope.view_version
-                return self._permit(claim, digest, envelope, asker_id, version)
+                return self._permit(claim, digest, envelope, querier_id, version)
             if self._may_create(claim, now=now):
                 return self._create(state, digest, envelope)
             return self._forward_to_primary(state, digest, envelope)
@@ -280,7 +280,7 @@
             return self._forward_to_primary(state, digest, envelope)
         # Queries the previous primary in this agent's name: a disclaimer sent to the
         # querying peer would become wrong if a permission is in flight to this agent.
-        if self._can_query_previous(claim) and claim.previous_id != envelope.asker_id:
+        if self._can_query_previous(claim) and claim.previous_id != envelope.querier_id:
             return self._query(claim.previous_id, state, digest, envelope, now=now)
         plain_envelope = _without_query(envelope)
         return self._hold(state, digest, plain_envelope, now=now)
@@ -302,8 +302,8 @@
             or claim.version > envelope.view_version
         ):
             return self._disclaim(envelope, version=envelope.view_version)
-        owner_id = claim.owners_by_flow.get(digest, envelope.asker_id)
-        if owner_id == envelope.asker_id and not claim.is_complete:
+        owner_id = claim.owners_by_flow.get(digest, envelope.querier_id)
+        if owner_id == envelope.querier_id and not claim.is_complete:
             claim.forget(digest)
             return self._create(state, digest, envelope)
         plain_envelope = _without_query(envelope)
@@ -320,7 +320,7 @@
     ) -> list[FlowAction]:
         plain_envelope = _without_query(envelope)
         known_version = claim.versions_by_flow.get(digest, -1)
-        if claim.owners_by_flow.get(digest) == envelope.asker_id:
+        if claim.owners_by_flow.get(digest) == envelope.querier_id:
             if known_version <= envelope.view_version:
                 claim.forget(digest)
         elif not claim.is_complete and claim.left_at is None:
@@ -373,7 +373,7 @@
         claim.permit(digest, owner_id, version)
         reply = attrs.evolve(
             envelope,
-            asker_id=self._member_id,
+            querier_id=self._member_id,
             view_version=version,
             exhausted=True,
             disclaimed=False,
@@ -384,12 +384,12 @@
         # Valid for all queries up to that version of this agent's view.
         reply = attrs.evolve(
             envelope,
-            asker_id=self._member_id,
+            querier_id=self._member_id,
             view_version=version,
             exhausted=False,
             disclaimed=True,
         )
-        return self._forward(envelope.asker_id, reply)
+        return self._forward(envelope.querier_id, reply)
 
     def _query(
         self,
@@ -405,7 +405,7 @@
         if agent_id not in view.members_by_id:
             return self._hold(state, digest, envelope, now=now)
         query = attrs.evolve(
-            envelope, asker_id=self._member_id, view_version=view.version
+            envelope, querier_id=self._member_id, view_version=view.version
         )
         return self._forward(agent_id, query)
 
@@ -413,7 +413,7 @@
         self, state: ServiceFlows, digest: int, envelope: Envelope
     ) -> list[FlowAction]:
         primary_id = state.primary_id_of(bucket_of(digest))
-        if envelope.asker_id and primary_id in ("", envelope.asker_id):
+        if envelope.querier_id and primary_id in ("", envelope.querier_id):
             view = self._handover.view
             assert view is not None
             return self._disclaim(envelope, version=view.version)
@@ -446,4 +446,4 @@
 
 
 def _without_query(envelope: Envelope) -> Envelope:
-    return attrs.evolve(envelope, asker_id="", exhausted=False, disclaimed=False)
+    return attrs.evolve(envelope, querier_id="", exhausted=False, disclaimed=False)
--- a/src/siskinshift/wire/codec.py
+++ b/src/siskinshift/wire/codec.py
@@ -94,7 +94,7 @@
         flags = FLAG_EXHAUSTED if envelope.exhausted else 0
         flags |= FLAG_DISCLAIMED if envelope.disclaimed else 0
         fields = _ENVELOPE.pack(envelope.hop_count, flags, envelope.view_version)
-        fields += envelope.asker_id.encode()
+        fields += envelope.querier_id.encode()
         addresses = pack_addresses(packet.caller, packet.service_address)
         signed = _signed_bytes(addresses[FIXED_SIZE:], fields, packet.payload)
         tlvs = b"".join(
@@ -137,7 +137,7 @@
             packet=Packet(header.caller, header.service_address, payload),
             hop_count=hop_count,
             view_version=view_version,
-            asker_id=fields[_ENVELOPE.size :].decode(errors="replace"),
+            querier_id=fields[_ENVELOPE.size :].decode(errors="replace"),
             exhausted=bool(flags & FLAG_EXHAUSTED),
             disclaimed=bool(flags & FLAG_DISCLAIMED),
         )
