--- a/src/siskinshift/core/packets.py
+++ b/src/siskinshift/core/packets.py
@@ -32,7 +32,7 @@
         view_version: The sender's view, for diagnosis.
         querier_id: Agent that is looking for the flow's owner; empty if none is. In an
             answer to the asker, the agent that answers.
-        exhausted: Answer: nobody owns the flow, and the asker may create it.
+        may_create: Answer: nobody owns the flow, and the asker may create it.
         disclaimed: Answer: the agent that was asked does not own the flow and can't
             say who does.
     """
@@ -41,5 +41,5 @@
     hop_count: int = 0
     view_version: int = 0
     querier_id: str = ""
-    exhausted: bool = False
+    may_create: bool = False
     disclaimed: bool = False
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -238,7 +238,7 @@
                 del self._linger_expiry_by_flow[digest]
                 return [self._deliver(state, digest, envelope, is_new=True)]
             self._forget_flow(digest, now=now)
-        if envelope.exhausted:
+        if envelope.may_create:
             return self._on_permission(state, claim, digest, envelope, now=now)
         if envelope.disclaimed and claim is not None:
             return self._on_disclaimer(state, claim, digest, envelope, now=now)
@@ -375,7 +375,7 @@
             envelope,
             querier_id=self._member_id,
             view_version=version,
-            exhausted=True,
+            may_create=True,
             disclaimed=False,
         )
         return self._forward(owner_id, reply)
@@ -386,7 +386,7 @@
             envelope,
             querier_id=self._member_id,
             view_version=version,
-            exhausted=False,
+            may_create=False,
             disclaimed=True,
         )
         return self._forward(envelope.querier_id, reply)
@@ -446,4 +446,4 @@
 
 
 def _without_query(envelope: Envelope) -> Envelope:
-    return attrs.evolve(envelope, querier_id="", exhausted=False, disclaimed=False)
+    return attrs.evolve(envelope, querier_id="", may_create=False, disclaimed=False)
--- a/src/siskinshift/wire/codec.py
+++ b/src/siskinshift/wire/codec.py
@@ -30,7 +30,7 @@
 
 ENVELOPE_TLV = 0xE0
 AUTHENTICATOR_TLV = 0xE1
-FLAG_EXHAUSTED = 0x01
+FLAG_MAY_CREATE = 0x01
 FLAG_DISCLAIMED = 0x02
 
 _ENVELOPE = struct.Struct("!BBQ")
@@ -91,7 +91,7 @@
             Header and payload.
         """
         packet = envelope.packet
-        flags = FLAG_EXHAUSTED if envelope.exhausted else 0
+        flags = FLAG_MAY_CREATE if envelope.may_create else 0
         flags |= FLAG_DISCLAIMED if envelope.disclaimed else 0
         fields = _ENVELOPE.pack(envelope.hop_count, flags, envelope.view_version)
         fields += envelope.querier_id.encode()
@@ -138,7 +138,7 @@
             hop_count=hop_count,
             view_version=view_version,
             querier_id=fields[_ENVELOPE.size :].decode(errors="replace"),
-            exhausted=bool(flags & FLAG_EXHAUSTED),
+            may_create=bool(flags & FLAG_MAY_CREATE),
             disclaimed=bool(flags & FLAG_DISCLAIMED),
         )
 
