--- a/src/siskinshift/core/views.py
+++ b/src/siskinshift/core/views.py
@@ -64,7 +64,7 @@
         """
         return self.agents_by_class.get(service.upstream_class, ())
 
-    def placeable_agents_of(self, service: Service) -> tuple[Member, ...]:
+    def eligible_agents_of(self, service: Service) -> tuple[Member, ...]:
         """Lists the agents that may own buckets of a service.
 
         Args:
