--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -25,7 +25,7 @@
 from siskinshift.connections.snapshot_writer import FLOW_LIST_PATH
 from siskinshift.connections.snapshot_writer import WRITTEN_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
@@ -379,7 +379,7 @@
             self.log.fact("no evacuations", peer=source, status=response.status)
             return
         try:
-            fetched = evacuations_from_document(parse_table(response.body))
+            fetched = evacuations_from_document(parse_object(response.body))
         except BadMessageError as error:
             self.log.fact("evacuations refused", peer=source, error=str(error))
             return
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -32,7 +32,7 @@
 from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.segment import FLOW_SIZE
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.documents import table_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
@@ -281,7 +281,7 @@
         if datagram[0] == _Kind.KNOWN_HOSTS:
             return _decode_known_hosts(datagram)
         if datagram[0] == _Kind.EVACUATIONS:
-            return evacuations_from_document(parse_table(datagram[1:]))
+            return evacuations_from_document(parse_object(datagram[1:]))
         if datagram[0] == _Kind.WARM_UP_RATE:
             return _decode_warm_up_rate(datagram)
     except (BadMessageError, IndexError, ValueError, struct.error):
@@ -337,7 +337,7 @@
 
 
 def _decode_status(datagram: bytes) -> Status:
-    body = parse_table(datagram[1:])
+    body = parse_object(datagram[1:])
     return Status(
         member=member_from_document(table_of(body, "member")),
         load=Load(
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -19,7 +19,7 @@
 from siskinshift.connections.member_documents import member_from_document
 from siskinshift.connections.store_contact import StoreContact
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
@@ -241,7 +241,7 @@
         members = []
         for entry in snapshot.entries:
             try:
-                member = member_from_document(parse_table(entry.value))
+                member = member_from_document(parse_object(entry.value))
                 if entry.key != member_key(member.member_id, member.role):
                     raise BadMessageError(f"member_id: {member.member_id!r}")
             except BadMessageError as error:
--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -39,7 +39,7 @@
     return _encoder.encode(value).encode()
 
 
-def parse_table(data: bytes) -> dict[str, Any]:
+def parse_object(data: bytes) -> dict[str, Any]:
     """Parses a JSON object.
 
     Args:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -13,7 +13,7 @@
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
 from siskinshift.control.documents import number_of
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.documents import rows_of
 from siskinshift.control.documents import table_of
 from siskinshift.control.documents import text_of
@@ -48,7 +48,7 @@
     Raises:
         BadMessageError: It can't be read; a part of one is never in force.
     """
-    document = parse_table(value)
+    document = parse_object(value)
     routes = [_decode_route(route) for route in rows_of(document, "routes")]
     services = rows_of(document, "services")
     limits = table_of(document, "limits")
--- a/src/siskinshift/platform/evacuations.py
+++ b/src/siskinshift/platform/evacuations.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.connections.evacuations import is_domain_name
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -29,7 +29,7 @@
     Raises:
         BadMessageError: Its key names no domain, or its value can't be read.
     """
-    parse_table(entry.value)
+    parse_object(entry.value)
     name = entry.key.removeprefix(EVACUATIONS_PREFIX)
     if "/" in name or not is_domain_name(name):
         raise BadMessageError(f"failure domain: {name!r}")
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -10,7 +10,7 @@
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.control.documents import number_of
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
@@ -48,10 +48,10 @@
         return None
     if request.path.startswith(_END_PATH):
         # An end may come without a body.
-        body = parse_table(request.body) if request.body else {}
+        body = parse_object(request.body) if request.body else {}
         return Deregistration(_incarnation(request.path[len(_END_PATH) :], body))
     if request.path.startswith(_HEARTBEAT_PATH):
-        body = parse_table(request.body)
+        body = parse_object(request.body)
         return _decode_heartbeat(request.path[len(_HEARTBEAT_PATH) :], body)
     return None
 
--- a/src/siskinshift/platform/settings.py
+++ b/src/siskinshift/platform/settings.py
@@ -13,7 +13,7 @@
 
 from siskinshift.connections.node_settings import NodeSettings
 from siskinshift.connections.node_settings import StoreSettings
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.core.endpoints import parse_endpoint
 from siskinshift.settings.exceptions import SettingsError
@@ -141,7 +141,7 @@
 
 def _parse(text: str) -> dict[str, Any]:
     if text.lstrip().startswith("{"):
-        return parse_table(text.encode())
+        return parse_object(text.encode())
     # Loaded only where it is needed: by people who check a file of their own.
     import tomllib
 
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -15,7 +15,7 @@
 from attrs import define
 
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.documents import rows_of
 from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
@@ -416,7 +416,7 @@
     if answer.status != HTTPStatus.OK:
         raise StoreUnavailableError(f"refused with status {answer.status}")
     try:
-        return parse_table(answer.body)
+        return parse_object(answer.body)
     except BadMessageError as error:
         raise StoreUnavailableError("answer is no JSON object") from error
 
