--- a/src/siskinshift/bench/load.py
+++ b/src/siskinshift/bench/load.py
@@ -130,7 +130,7 @@
     ]
 
 
-def table_of(figures: list[Figures]) -> str:
+def get_object(figures: list[Figures]) -> str:
     """Writes the table.
 
     Args:
@@ -166,7 +166,7 @@
     started = time.monotonic()
     figures = run_bench()
     goals = goals_of(figures)
-    print(table_of(figures))
+    print(get_object(figures))
     for goal in goals:
         verdict = "met" if goal.is_met else "MISSED"
         print(f"{verdict:7}{goal.service:12}{goal.name:42}{goal.measured:8.3f}")
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -32,8 +32,8 @@
 from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.segment import FLOW_SIZE
 from siskinshift.control.documents import encode_json
+from siskinshift.control.documents import get_object
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import table_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
@@ -339,7 +339,7 @@
 def _decode_status(datagram: bytes) -> Status:
     body = parse_object(datagram[1:])
     return Status(
-        member=member_from_document(table_of(body, "member")),
+        member=member_from_document(get_object(body, "member")),
         load=Load(
             whole_of(body, "flows"),
             whole_of(body, "running"),
--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -68,7 +68,7 @@
     return value
 
 
-def table_of(document: dict[str, Any], name: str) -> dict[str, Any]:
+def get_object(document: dict[str, Any], name: str) -> dict[str, Any]:
     """Reads a field that is an object.
 
     Raises:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -12,10 +12,10 @@
 from siskinshift.connections.routes import RouteTable
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
+from siskinshift.control.documents import get_object
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
 from siskinshift.control.documents import rows_of
-from siskinshift.control.documents import table_of
 from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
@@ -51,7 +51,7 @@
     document = parse_object(value)
     routes = [_decode_route(route) for route in rows_of(document, "routes")]
     services = rows_of(document, "services")
-    limits = table_of(document, "limits")
+    limits = get_object(document, "limits")
     return RouteTable(
         version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
         routes_by_address=MappingProxyType({r.address: r for r in routes}),
