--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -80,7 +80,7 @@
     return value
 
 
-def rows_of(document: dict[str, Any], name: str) -> list[dict[str, Any]]:
+def get_objects(document: dict[str, Any], name: str) -> list[dict[str, Any]]:
     """Reads a field that is a list of objects.
 
     Raises:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -13,9 +13,9 @@
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
 from siskinshift.control.documents import get_object
+from siskinshift.control.documents import get_objects
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import rows_of
 from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
@@ -49,8 +49,8 @@
         BadMessageError: It can't be read; a part of one is never in force.
     """
     document = parse_object(value)
-    routes = [_decode_route(route) for route in rows_of(document, "routes")]
-    services = rows_of(document, "services")
+    routes = [_decode_route(route) for route in get_objects(document, "routes")]
+    services = get_objects(document, "services")
     limits = get_object(document, "limits")
     return RouteTable(
         version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
@@ -109,7 +109,7 @@
         Target(
             text_of(part, "service"), whole_of(part, "weight", maximum=WEIGHT_MAXIMUM)
         )
-        for part in rows_of(route, "traffic-split")
+        for part in get_objects(route, "traffic-split")
     ]
     targets = [target for target in targets if target.weight]
     if not targets:
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -15,8 +15,8 @@
 from attrs import define
 
 from siskinshift.control.documents import encode_json
+from siskinshift.control.documents import get_objects
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import rows_of
 from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
@@ -241,7 +241,7 @@
             answer = self._read("/kv-range?" + urlencode(query))
             document = _document_of(answer)
             try:
-                entries += [_entry_of(item) for item in rows_of(document, "items")]
+                entries += [_entry_of(item) for item in get_objects(document, "items")]
                 revision = revision or whole_of(document, "as-of")
                 has_more = document["has-more"] is True
             except MALFORMED as error:
@@ -399,7 +399,7 @@
             raise StoreCompactedError("this history is no longer kept")
         document = _document_of(answer)
         try:
-            events = rows_of(document, "events")
+            events = get_objects(document, "events")
             self._after = max(self._after, whole_of(document, "as-of"))
             return WatchBatch(
                 entries=tuple(_entry_of(e) for e in events if not e.get("removed")),
