--- a/src/siskinshift/connections/member_documents.py
+++ b/src/siskinshift/connections/member_documents.py
@@ -7,7 +7,7 @@
 from typing import Any
 from typing import TypeVar
 
-from siskinshift.control.documents import text_of
+from siskinshift.control.documents import get_string
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import Endpoint
@@ -73,23 +73,23 @@
     port = whole_of(document, "port", minimum=1, maximum=PORT_MAXIMUM)
     endpoint = Endpoint(_host_of(document), port)
     return Member(
-        member_id=text_of(document, "member_id"),
+        member_id=get_string(document, "member_id"),
         role=_choice_of(document, "role", Role),
         incarnation=whole_of(document, "incarnation", maximum=INCARNATION_MAXIMUM),
         version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
         state=_choice_of(document, "state", MemberState),
-        region=text_of(document, "region", may_be_empty=True),
-        failure_domain=text_of(document, "failure_domain", may_be_empty=True),
+        region=get_string(document, "region", may_be_empty=True),
+        failure_domain=get_string(document, "failure_domain", may_be_empty=True),
         control=endpoint,
         data=endpoint,
-        upstream_class=text_of(document, "upstream_class", may_be_empty=True),
+        upstream_class=get_string(document, "upstream_class", may_be_empty=True),
         weight=whole_of(document, "weight", maximum=WEIGHT_MAXIMUM),
         slots=whole_of(document, "slots", minimum=1, maximum=SLOTS_MAXIMUM),
     )
 
 
 def _host_of(document: dict[str, Any]) -> str:
-    host = text_of(document, "host")
+    host = get_string(document, "host")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError) as error:
@@ -98,7 +98,7 @@
 
 
 def _choice_of(document: dict[str, Any], name: str, choices: type[ChoiceT]) -> ChoiceT:
-    value = text_of(document, name)
+    value = get_string(document, name)
     try:
         return choices(value)
     except ValueError as error:
--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -92,7 +92,9 @@
     return [as_table(row) for row in value]
 
 
-def text_of(document: dict[str, Any], name: str, *, may_be_empty: bool = False) -> str:
+def get_string(
+    document: dict[str, Any], name: str, *, may_be_empty: bool = False
+) -> str:
     """Reads a field that is a text.
 
     Raises:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -14,9 +14,9 @@
 from siskinshift.connections.segment import pack_service_address
 from siskinshift.control.documents import get_object
 from siskinshift.control.documents import get_objects
+from siskinshift.control.documents import get_string
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
@@ -57,7 +57,7 @@
         routes_by_address=MappingProxyType({r.address: r for r in routes}),
         idle_timeout=_seconds_of(limits, "idle-timeout-ms"),
         health_paths_by_service=MappingProxyType(
-            {text_of(s, "name"): text_of(s, "health-path") for s in services}
+            {get_string(s, "name"): get_string(s, "health-path") for s in services}
         ),
         warm_up_rates_by_service=_decode_warm_up_rates(services),
     )
@@ -66,7 +66,7 @@
 def _decode_warm_up_rates(services: list[dict[str, Any]]) -> Mapping[str, float]:
     """Reads the rates; a rate of 0, or none, declares no bound."""
     rates_by_service = {
-        text_of(service, "name"): number_of(
+        get_string(service, "name"): number_of(
             service, "warmup-per-s", maximum=MAX_WARM_UP_RATE
         )
         for service in services
@@ -77,7 +77,7 @@
 
 def _decode_route(route: dict[str, Any]) -> ConnectionRoute:
     return ConnectionRoute(
-        name=text_of(route, "name"),
+        name=get_string(route, "name"),
         address=_decode_address(route),
         targets=_decode_targets(route),
         terms=RequestParameters(
@@ -85,13 +85,13 @@
             deadline=_seconds_of(route, "timeout-ms"),
             urgency=whole_of(route, "priority"),
         ),
-        is_single_request=text_of(route, "type") == DOWNLOAD,
+        is_single_request=get_string(route, "type") == DOWNLOAD,
     )
 
 
 def _decode_address(route: dict[str, Any]) -> bytes:
     # A route's prefix is a port between slashes.
-    host, port = text_of(route, "host"), text_of(route, "prefix").strip("/")
+    host, port = get_string(route, "host"), get_string(route, "prefix").strip("/")
     try:
         return pack_service_address(host, int(port))
     except (OSError, OverflowError, ValueError) as error:
@@ -104,10 +104,11 @@
 
 def _decode_targets(route: dict[str, Any]) -> tuple[Target, ...]:
     if not route.get("traffic-split"):
-        return (Target(text_of(route, "service"), 1),)
+        return (Target(get_string(route, "service"), 1),)
     targets = [
         Target(
-            text_of(part, "service"), whole_of(part, "weight", maximum=WEIGHT_MAXIMUM)
+            get_string(part, "service"),
+            whole_of(part, "weight", maximum=WEIGHT_MAXIMUM),
         )
         for part in get_objects(route, "traffic-split")
     ]
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -9,9 +9,9 @@
 from siskinshift.connections.member_documents import SLOTS_MAXIMUM
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
+from siskinshift.control.documents import get_string
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
@@ -57,13 +57,13 @@
 
 
 def _decode_heartbeat(upstream_id: str, body: dict[str, Any]) -> Heartbeat:
-    state = text_of(body, "state")
+    state = get_string(body, "state")
     if state not in _IS_LEAVING_BY_STATE:
         raise BadMessageError(f"state: {state!r}; allowed: ready, draining")
     cold_ms = number_of(body, "warmup-left-ms", maximum=COLD_MS_MAXIMUM)
     return Heartbeat(
         incarnation=_incarnation(upstream_id, body),
-        service_id=text_of(body, "service"),
+        service_id=get_string(body, "service"),
         sequence=whole_of(body, "seq"),
         slots=whole_of(body, "capacity", minimum=1, maximum=SLOTS_MAXIMUM),
         is_leaving=_IS_LEAVING_BY_STATE[state],
@@ -72,7 +72,7 @@
 
 
 def _incarnation(upstream_id: str, body: dict[str, Any]) -> Incarnation:
-    text_of({"id": upstream_id}, "id")
+    get_string({"id": upstream_id}, "id")
     # `born` is when the upstream's process started. Some upstreams do not tell it.
     started_ms = whole_of(body, "born") if "born" in body else None
     return Incarnation(upstream_id, started_ms)
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -16,8 +16,8 @@
 
 from siskinshift.control.documents import encode_json
 from siskinshift.control.documents import get_objects
+from siskinshift.control.documents import get_string
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import text_of
 from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.core.clocks import monotonic_clock
@@ -404,7 +404,7 @@
             return WatchBatch(
                 entries=tuple(_entry_of(e) for e in events if not e.get("removed")),
                 deleted_keys=tuple(
-                    text_of(e, "key") for e in events if e.get("removed")
+                    get_string(e, "key") for e in events if e.get("removed")
                 ),
                 revision=self._after,
             )
@@ -424,7 +424,7 @@
 def _entry_of(item: dict[str, Any]) -> Entry:
     try:
         return Entry(
-            key=text_of(item, "key"),
+            key=get_string(item, "key"),
             value=base64.b64decode(item["value"], validate=True),
             revision=whole_of(item, "revision"),
         )
