--- a/src/siskinshift/connections/evacuations.py
+++ b/src/siskinshift/connections/evacuations.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import whole_of
+from siskinshift.control.documents import get_integer
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -111,7 +111,7 @@
         raise BadMessageError("domains: no list, or too long a one")
     if not all(isinstance(d, str) and is_domain_name(d) for d in domains):
         raise BadMessageError("domains: not all are names")
-    revision = whole_of(document, "revision", maximum=REVISION_MAXIMUM)
+    revision = get_integer(document, "revision", maximum=REVISION_MAXIMUM)
     return Evacuations(revision, frozenset(domains))
 
 
--- a/src/siskinshift/connections/member_documents.py
+++ b/src/siskinshift/connections/member_documents.py
@@ -7,8 +7,8 @@
 from typing import Any
 from typing import TypeVar
 
+from siskinshift.control.documents import get_integer
 from siskinshift.control.documents import get_string
-from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import Endpoint
 from siskinshift.messages.core import Member
@@ -70,21 +70,21 @@
     Raises:
         BadMessageError: A field is missing, of another type or out of range.
     """
-    port = whole_of(document, "port", minimum=1, maximum=PORT_MAXIMUM)
+    port = get_integer(document, "port", minimum=1, maximum=PORT_MAXIMUM)
     endpoint = Endpoint(_host_of(document), port)
     return Member(
         member_id=get_string(document, "member_id"),
         role=_choice_of(document, "role", Role),
-        incarnation=whole_of(document, "incarnation", maximum=INCARNATION_MAXIMUM),
-        version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
+        incarnation=get_integer(document, "incarnation", maximum=INCARNATION_MAXIMUM),
+        version=get_integer(document, "version", maximum=VERSION_MAXIMUM),
         state=_choice_of(document, "state", MemberState),
         region=get_string(document, "region", may_be_empty=True),
         failure_domain=get_string(document, "failure_domain", may_be_empty=True),
         control=endpoint,
         data=endpoint,
         upstream_class=get_string(document, "upstream_class", may_be_empty=True),
-        weight=whole_of(document, "weight", maximum=WEIGHT_MAXIMUM),
-        slots=whole_of(document, "slots", minimum=1, maximum=SLOTS_MAXIMUM),
+        weight=get_integer(document, "weight", maximum=WEIGHT_MAXIMUM),
+        slots=get_integer(document, "slots", minimum=1, maximum=SLOTS_MAXIMUM),
     )
 
 
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -32,9 +32,9 @@
 from siskinshift.connections.request_queue import RequestParameters
 from siskinshift.connections.segment import FLOW_SIZE
 from siskinshift.control.documents import encode_json
+from siskinshift.control.documents import get_integer
 from siskinshift.control.documents import get_object
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -341,11 +341,11 @@
     return Status(
         member=member_from_document(get_object(body, "member")),
         load=Load(
-            whole_of(body, "flows"),
-            whole_of(body, "running"),
+            get_integer(body, "flows"),
+            get_integer(body, "running"),
             is_certain=body.get("certain") is True,
         ),
-        configuration_version=whole_of(body, "configuration"),
+        configuration_version=get_integer(body, "configuration"),
         wants_status=body.get("wants_status") is True,
         wants_members=body.get("wants_members") is True,
     )
--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -111,7 +111,7 @@
     return value
 
 
-def whole_of(
+def get_integer(
     document: dict[str, Any],
     name: str,
     *,
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -12,12 +12,12 @@
 from siskinshift.connections.routes import RouteTable
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
+from siskinshift.control.documents import get_integer
 from siskinshift.control.documents import get_object
 from siskinshift.control.documents import get_objects
 from siskinshift.control.documents import get_string
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -53,7 +53,7 @@
     services = get_objects(document, "services")
     limits = get_object(document, "limits")
     return RouteTable(
-        version=whole_of(document, "version", maximum=VERSION_MAXIMUM),
+        version=get_integer(document, "version", maximum=VERSION_MAXIMUM),
         routes_by_address=MappingProxyType({r.address: r for r in routes}),
         idle_timeout=_seconds_of(limits, "idle-timeout-ms"),
         health_paths_by_service=MappingProxyType(
@@ -83,7 +83,7 @@
         terms=RequestParameters(
             objective=_seconds_of(route, "target-latency-ms"),
             deadline=_seconds_of(route, "timeout-ms"),
-            urgency=whole_of(route, "priority"),
+            urgency=get_integer(route, "priority"),
         ),
         is_single_request=get_string(route, "type") == DOWNLOAD,
     )
@@ -108,7 +108,7 @@
     targets = [
         Target(
             get_string(part, "service"),
-            whole_of(part, "weight", maximum=WEIGHT_MAXIMUM),
+            get_integer(part, "weight", maximum=WEIGHT_MAXIMUM),
         )
         for part in get_objects(route, "traffic-split")
     ]
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -9,10 +9,10 @@
 from siskinshift.connections.member_documents import SLOTS_MAXIMUM
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
+from siskinshift.control.documents import get_integer
 from siskinshift.control.documents import get_string
 from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -64,8 +64,8 @@
     return Heartbeat(
         incarnation=_incarnation(upstream_id, body),
         service_id=get_string(body, "service"),
-        sequence=whole_of(body, "seq"),
-        slots=whole_of(body, "capacity", minimum=1, maximum=SLOTS_MAXIMUM),
+        sequence=get_integer(body, "seq"),
+        slots=get_integer(body, "capacity", minimum=1, maximum=SLOTS_MAXIMUM),
         is_leaving=_IS_LEAVING_BY_STATE[state],
         cold_seconds=cold_ms / MILLISECONDS,
     )
@@ -74,5 +74,5 @@
 def _incarnation(upstream_id: str, body: dict[str, Any]) -> Incarnation:
     get_string({"id": upstream_id}, "id")
     # `born` is when the upstream's process started. Some upstreams do not tell it.
-    started_ms = whole_of(body, "born") if "born" in body else None
+    started_ms = get_integer(body, "born") if "born" in body else None
     return Incarnation(upstream_id, started_ms)
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -15,10 +15,10 @@
 from attrs import define
 
 from siskinshift.control.documents import encode_json
+from siskinshift.control.documents import get_integer
 from siskinshift.control.documents import get_objects
 from siskinshift.control.documents import get_string
 from siskinshift.control.documents import parse_object
-from siskinshift.control.documents import whole_of
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.core.clocks import monotonic_clock
 from siskinshift.kv.exceptions import StoreCompactedError
@@ -179,7 +179,7 @@
             raise StoreUnavailableError("no such lease")
         document = _document_of(answer)
         try:
-            revision = whole_of(document, "revision")
+            revision = get_integer(document, "revision")
         except BadMessageError as error:
             # It was done; what it has become is read again.
             raise StoreOutcomeUnknownError("answer can't be read") from error
@@ -192,8 +192,8 @@
         document = _document_of(self._call("POST", "/kv-lease", body))
         try:
             return Lease(
-                whole_of(document, "lease", minimum=1),
-                whole_of(document, "ttl-ms") / MILLISECONDS,
+                get_integer(document, "lease", minimum=1),
+                get_integer(document, "ttl-ms") / MILLISECONDS,
             )
         except MALFORMED as error:
             raise StoreUnavailableError("answer can't be read") from error
@@ -204,7 +204,7 @@
         if answer.status == HTTPStatus.NOT_FOUND:
             return 0.0
         try:
-            return whole_of(_document_of(answer), "ttl-ms") / MILLISECONDS
+            return get_integer(_document_of(answer), "ttl-ms") / MILLISECONDS
         except MALFORMED as error:
             raise StoreUnavailableError("answer can't be read") from error
 
@@ -242,7 +242,7 @@
             document = _document_of(answer)
             try:
                 entries += [_entry_of(item) for item in get_objects(document, "items")]
-                revision = revision or whole_of(document, "as-of")
+                revision = revision or get_integer(document, "as-of")
                 has_more = document["has-more"] is True
             except MALFORMED as error:
                 raise StoreUnavailableError("answer can't be read") from error
@@ -400,7 +400,7 @@
         document = _document_of(answer)
         try:
             events = get_objects(document, "events")
-            self._after = max(self._after, whole_of(document, "as-of"))
+            self._after = max(self._after, get_integer(document, "as-of"))
             return WatchBatch(
                 entries=tuple(_entry_of(e) for e in events if not e.get("removed")),
                 deleted_keys=tuple(
@@ -426,7 +426,7 @@
         return Entry(
             key=get_string(item, "key"),
             value=base64.b64decode(item["value"], validate=True),
-            revision=whole_of(item, "revision"),
+            revision=get_integer(item, "revision"),
         )
     except MALFORMED as error:
         raise StoreUnavailableError("entry can't be read") from error
