--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -130,7 +130,7 @@
     return int(value)
 
 
-def number_of(document: dict[str, Any], name: str, *, maximum: float) -> float:
+def get_number(document: dict[str, Any], name: str, *, maximum: float) -> float:
     """Reads a field that is a number from zero on, a fraction or not.
 
     Raises:
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -13,10 +13,10 @@
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
 from siskinshift.control.documents import get_integer
+from siskinshift.control.documents import get_number
 from siskinshift.control.documents import get_object
 from siskinshift.control.documents import get_objects
 from siskinshift.control.documents import get_string
-from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 
@@ -66,7 +66,7 @@
 def _decode_warm_up_rates(services: list[dict[str, Any]]) -> Mapping[str, float]:
     """Reads the rates; a rate of 0, or none, declares no bound."""
     rates_by_service = {
-        get_string(service, "name"): number_of(
+        get_string(service, "name"): get_number(
             service, "warmup-per-s", maximum=MAX_WARM_UP_RATE
         )
         for service in services
@@ -99,7 +99,7 @@
 
 
 def _seconds_of(table: dict[str, Any], name: str) -> float:
-    return number_of(table, name, maximum=DURATION_MS_MAXIMUM) / MILLISECONDS
+    return get_number(table, name, maximum=DURATION_MS_MAXIMUM) / MILLISECONDS
 
 
 def _decode_targets(route: dict[str, Any]) -> tuple[Target, ...]:
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -10,8 +10,8 @@
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
 from siskinshift.control.documents import get_integer
+from siskinshift.control.documents import get_number
 from siskinshift.control.documents import get_string
-from siskinshift.control.documents import number_of
 from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 
@@ -60,7 +60,7 @@
     state = get_string(body, "state")
     if state not in _IS_LEAVING_BY_STATE:
         raise BadMessageError(f"state: {state!r}; allowed: ready, draining")
-    cold_ms = number_of(body, "warmup-left-ms", maximum=COLD_MS_MAXIMUM)
+    cold_ms = get_number(body, "warmup-left-ms", maximum=COLD_MS_MAXIMUM)
     return Heartbeat(
         incarnation=_incarnation(upstream_id, body),
         service_id=get_string(body, "service"),
