--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -93,7 +93,7 @@
 
 
 def get_string(
-    document: dict[str, Any], name: str, *, may_be_empty: bool = False
+    document: dict[str, Any], name: str, *, allow_empty: bool = False
 ) -> str:
     """Reads a field that is a text.
 
@@ -106,7 +106,7 @@
     if not value.isprintable():
         # Among others the halves of a character that no encoding takes.
         raise _fault(name, value, "a text that can be printed")
-    if not value and not may_be_empty:
+    if not value and not allow_empty:
         raise _fault(name, value, "a text")
     return value
 
