--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -34,8 +34,8 @@
 from siskinshift.kv.port import TransactionResult
 from siskinshift.kv.port import WatchBatch
 from siskinshift.runtime.http_client import AnswerLostError
-from siskinshift.runtime.http_client import CallNotSentError
 from siskinshift.runtime.http_client import HttpClient
+from siskinshift.runtime.http_client import RequestNotSentError
 from siskinshift.runtime.http_client import lengthened
 
 
@@ -312,7 +312,7 @@
         """
         try:
             answer = client.call(method, target, body, timeout=timeout)
-        except CallNotSentError as error:
+        except RequestNotSentError as error:
             self._guard.failed(now=self._clock())
             raise StoreUnavailableError(f"not reached: {error}") from error
         except AnswerLostError as error:
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -38,7 +38,7 @@
 DOUBLINGS_MAXIMUM = 2
 
 
-class CallNotSentError(OSError):
+class RequestNotSentError(OSError):
     """The connection could not be made, so the call took no effect."""
 
 
@@ -146,7 +146,7 @@
             The answer, whatever its status.
 
         Raises:
-            CallNotSentError: No connection, or the client is closed.
+            RequestNotSentError: No connection, or the client is closed.
             AnswerLostError: The answer or a part of it did not come in time.
         """
         self._is_calling = True
@@ -211,7 +211,7 @@
             except OSError as error:
                 self._failures += 1
                 self._disconnect()
-                raise CallNotSentError(str(error)) from error
+                raise RequestNotSentError(str(error)) from error
             self._failures = 0
             _notice_silence(connection)
             return connection
