--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -33,9 +33,9 @@
 from siskinshift.kv.port import Snapshot
 from siskinshift.kv.port import TransactionResult
 from siskinshift.kv.port import WatchBatch
-from siskinshift.runtime.http_client import AnswerLostError
 from siskinshift.runtime.http_client import HttpClient
 from siskinshift.runtime.http_client import RequestNotSentError
+from siskinshift.runtime.http_client import ResponseLostError
 from siskinshift.runtime.http_client import lengthened
 
 
@@ -315,7 +315,7 @@
         except RequestNotSentError as error:
             self._guard.failed(now=self._clock())
             raise StoreUnavailableError(f"not reached: {error}") from error
-        except AnswerLostError as error:
+        except ResponseLostError as error:
             self._guard.failed(now=self._clock())
             raise StoreOutcomeUnknownError(f"answer lost: {error}") from error
         if answer.status in (
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -42,7 +42,7 @@
     """The connection could not be made, so the call took no effect."""
 
 
-class AnswerLostError(OSError):
+class ResponseLostError(OSError):
     """The call was sent and no whole answer came: it may have taken effect."""
 
 
@@ -147,7 +147,7 @@
 
         Raises:
             RequestNotSentError: No connection, or the client is closed.
-            AnswerLostError: The answer or a part of it did not come in time.
+            ResponseLostError: The answer or a part of it did not come in time.
         """
         self._is_calling = True
         try:
@@ -195,7 +195,7 @@
             return self._read(connection, timeout)
         except (OSError, ValueError, httptools.HttpParserError) as error:
             self._disconnect()
-            raise AnswerLostError(str(error)) from error
+            raise ResponseLostError(str(error)) from error
 
     def _connect(self, timeout: float) -> socket.socket:
         if self._socket is None:
