--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -36,7 +36,7 @@
 from siskinshift.runtime.http_client import HttpClient
 from siskinshift.runtime.http_client import RequestNotSentError
 from siskinshift.runtime.http_client import ResponseLostError
-from siskinshift.runtime.http_client import lengthened
+from siskinshift.runtime.http_client import extend_timeout
 
 
 if TYPE_CHECKING:
@@ -274,7 +274,7 @@
     ) -> HttpResponse:
         with lane.lock:
             self._admit()
-            timeout = lengthened(CALL_TIMEOUT_SECONDS, failures=lane.failures)
+            timeout = extend_timeout(CALL_TIMEOUT_SECONDS, failures=lane.failures)
             try:
                 answer = self.exchange(
                     lane.client, method, target, body, timeout=timeout
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -46,7 +46,7 @@
     """The call was sent and no whole answer came: it may have taken effect."""
 
 
-def lengthened(seconds: float, *, failures: int) -> float:
+def extend_timeout(seconds: float, *, failures: int) -> float:
     """Lengthens a time that was too short.
 
     Guards against a time that a link can't keep: a try that is given up too early, and
@@ -201,7 +201,7 @@
         if self._socket is None:
             allowed = min(timeout, self._connect_timeout)
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            connection.settimeout(lengthened(allowed, failures=self._failures))
+            connection.settimeout(extend_timeout(allowed, failures=self._failures))
             # Kept before it connects, so that `close` ends that wait as well.
             self._socket = connection
             try:
