--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -23,7 +23,7 @@
     from siskinshift.kv.port import Entry
     from siskinshift.kv.port import Snapshot
     from siskinshift.observability.event_log import EventLog
-    from siskinshift.runtime.http_client import Transfer
+    from siskinshift.runtime.http_client import TransferProgress
 
 
 # A change must be in force within three seconds of the store's return.
@@ -51,7 +51,7 @@
     """A watch that tells how far its newest answer has come."""
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """How far it has come."""
 
 
@@ -59,7 +59,7 @@
     """The calls of a store that following needs; see KeyValueStore."""
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """How far the newest answer to a reading has come."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
@@ -114,7 +114,7 @@
             watch.close()
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """How far the newest answer has come; other threads may ask."""
         watch = self._watch
         return self._store.transfer if watch is None else watch.transfer
@@ -184,7 +184,7 @@
             if not self._is_behind or stopping.is_set():
                 return snapshot.revision
 
-    def _take(self, entry: Entry, transfer: Transfer) -> None:
+    def _take(self, entry: Entry, transfer: TransferProgress) -> None:
         self._read_revision = entry.revision
         reading = ConfigurationReading(entry.value, seconds=transfer.seconds)
         self._on_reading(reading)
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -47,7 +47,7 @@
     from siskinshift.core.http import HttpResponse
     from siskinshift.kv.port import Compare
     from siskinshift.kv.port import Operation
-    from siskinshift.runtime.http_client import Transfer
+    from siskinshift.runtime.http_client import TransferProgress
 
 
 # The store answers in 4 ms; sixty times that is its slowest seen disturbance, and a
@@ -119,7 +119,7 @@
         self._readings = _Lane(self._new_client())
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """How far the newest answer to a reading has come."""
         return self._readings.client.transfer
 
@@ -376,7 +376,7 @@
             yield self._wait("/kv-watch?" + query)
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """How far the newest answer has come."""
         return self._client.transfer
 
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -63,7 +63,7 @@
 
 
 @frozen
-class Transfer:
+class TransferProgress:
     """How far the newest answer of a client has come; other threads may read it.
 
     Attributes:
@@ -126,7 +126,7 @@
         self._socket: socket.socket | None = None
         self._is_calling = False
         self._is_closed = False
-        self.transfer = Transfer()
+        self.transfer = TransferProgress()
 
     def call(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
@@ -230,7 +230,7 @@
                 raise ConnectionResetError("closed before the answer's end")
             now = time.monotonic()
             began_at = now if self.transfer.is_over else self.transfer.began_at
-            self.transfer = Transfer(began_at, now, is_over=False)
+            self.transfer = TransferProgress(began_at, now, is_over=False)
             parser.feed_data(data)
             connection.settimeout(min(timeout, PART_SECONDS_MAXIMUM))
         if not parser.should_keep_alive():
