--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -67,19 +67,20 @@
     """How far the newest answer of a client has come; other threads may read it.
 
     Attributes:
-        began_at: When its first part came, monotonic clock, seconds; 0 for none yet.
+        first_received_at: When the first part arrived, monotonic clock, seconds; 0
+            before that.
         moved_at: When its newest part came.
         is_over: Whether it came to its end or was given up.
     """
 
-    began_at: float = 0.0
+    first_received_at: float = 0.0
     moved_at: float = 0.0
     is_over: bool = True
 
     @property
     def seconds(self) -> float:
         """Time from the first part to the newest one."""
-        return self.moved_at - self.began_at
+        return self.moved_at - self.first_received_at
 
 
 @define
@@ -229,8 +230,10 @@
             if not data:
                 raise ConnectionResetError("closed before the answer's end")
             now = time.monotonic()
-            began_at = now if self.transfer.is_over else self.transfer.began_at
-            self.transfer = TransferProgress(began_at, now, is_over=False)
+            first_received_at = (
+                now if self.transfer.is_over else self.transfer.first_received_at
+            )
+            self.transfer = TransferProgress(first_received_at, now, is_over=False)
             parser.feed_data(data)
             connection.settimeout(min(timeout, PART_SECONDS_MAXIMUM))
         if not parser.should_keep_alive():
