--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -342,7 +342,7 @@
         is_due = self._catch_up.is_due(
             told=peer.configuration_version,
             held=self.configuration_version,
-            moved_at=self._follower.transfer.moved_at,
+            moved_at=self._follower.transfer.last_received_at,
             is_failing=self._follower.is_failing,
             now=now,
         )
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -69,18 +69,18 @@
     Attributes:
         first_received_at: When the first part arrived, monotonic clock, seconds; 0
             before that.
-        moved_at: When its newest part came.
+        last_received_at: When its newest part came.
         is_over: Whether it came to its end or was given up.
     """
 
     first_received_at: float = 0.0
-    moved_at: float = 0.0
+    last_received_at: float = 0.0
     is_over: bool = True
 
     @property
     def seconds(self) -> float:
         """Time from the first part to the newest one."""
-        return self.moved_at - self.first_received_at
+        return self.last_received_at - self.first_received_at
 
 
 @define
