--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -70,12 +70,12 @@
         first_received_at: When the first part arrived, monotonic clock, seconds; 0
             before that.
         last_received_at: When its newest part came.
-        is_over: Whether it came to its end or was given up.
+        is_complete: Whether it came to its end or was given up.
     """
 
     first_received_at: float = 0.0
     last_received_at: float = 0.0
-    is_over: bool = True
+    is_complete: bool = True
 
     @property
     def seconds(self) -> float:
@@ -155,7 +155,7 @@
             return self._exchange(method, target, body, timeout)
         finally:
             self._is_calling = False
-            self.transfer = attrs.evolve(self.transfer, is_over=True)
+            self.transfer = attrs.evolve(self.transfer, is_complete=True)
             if self._is_closed:
                 self._disconnect()
 
@@ -231,9 +231,9 @@
                 raise ConnectionResetError("closed before the answer's end")
             now = time.monotonic()
             first_received_at = (
-                now if self.transfer.is_over else self.transfer.first_received_at
+                now if self.transfer.is_complete else self.transfer.first_received_at
             )
-            self.transfer = TransferProgress(first_received_at, now, is_over=False)
+            self.transfer = TransferProgress(first_received_at, now, is_complete=False)
             parser.feed_data(data)
             connection.settimeout(min(timeout, PART_SECONDS_MAXIMUM))
         if not parser.should_keep_alive():
