--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -357,7 +357,7 @@
         try:
             # Before the configuration, with which the balancer starts placing flows.
             self._fetch_evacuations(client, source=peer_id)
-            response = client.call(
+            response = client.request(
                 "GET", CONFIGURATION_PATH, timeout=FETCH_TIMEOUT_SECONDS
             )
             if response.status == 200:
@@ -373,7 +373,9 @@
             self._is_fetching = False
 
     def _fetch_evacuations(self, client: HttpClient, *, source: str) -> None:
-        response = client.call("GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS)
+        response = client.request(
+            "GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS
+        )
         if response.status != HTTPStatus.OK:
             # The peer runs an older version; the watch of the store continues.
             self.log.fact("no evacuations", peer=source, status=response.status)
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -63,7 +63,7 @@
         has_it = is_again and endpoint == self._endpoint
         target = f"{self._path}?{AGAIN_QUERY}" if has_it else self._path
         try:
-            answer = client.call("POST", target, value, timeout=ANSWER_SECONDS)
+            answer = client.request("POST", target, value, timeout=ANSWER_SECONDS)
         except OSError as error:
             # The agent writes it itself; the next step looks for a writer again.
             self._log.decision(
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -311,7 +311,7 @@
             StoreOutcomeUnknownError: It may have been done.
         """
         try:
-            answer = client.call(method, target, body, timeout=timeout)
+            answer = client.request(method, target, body, timeout=timeout)
         except RequestNotSentError as error:
             self._guard.failed(now=self._clock())
             raise StoreUnavailableError(f"not reached: {error}") from error
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -129,7 +129,7 @@
         self._is_closed = False
         self.transfer = TransferProgress()
 
-    def call(
+    def request(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
     ) -> HttpResponse:
         """Makes a call.
