--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -115,9 +115,9 @@
 
     def on_start(self) -> None:
         """Opens the control server and starts to take flows."""
-        self.owns(self._flows.close)
-        self.owns(self._connections.close)
-        self.owns(self._hand_over.close)
+        self.add_cleanup(self._flows.close)
+        self.add_cleanup(self._connections.close)
+        self.add_cleanup(self._hand_over.close)
         self.open_node()
         self.membership.views.subscribe(self._on_view)
         self.membership.start()
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -68,7 +68,7 @@
         if not self.settings.kv.endpoints:
             return
         self.membership.views.subscribe(self._reader.update)
-        self.owns(self._reader.stop)
+        self.add_cleanup(self._reader.stop)
         self.every(TICK_SECONDS, self._reader.step)
 
     @property
@@ -92,7 +92,7 @@
             store_available=lambda: store.available,
         )
         self._operators = OperatorsServer(self.settings.api, service)
-        self.owns(self._operators.stop)
+        self.add_cleanup(self._operators.stop)
         self._operators.start()
 
     def leave(self, at_once: threading.Event) -> None:
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -96,12 +96,12 @@
         self.evacuations = EvacuationRegister()
         outlet = settings.upstream_outlet
         self._upstream_socket = open_datagram_socket(outlet.host, outlet.port)
-        self.owns(self._upstream_socket.close)
+        self.add_cleanup(self._upstream_socket.close)
         self._upstream_address = (settings.upstream.host, settings.upstream.port)
         self._snapshot_upload = SnapshotUpload(
             member_id=settings.node_id, writer=self._choose_writer, log=self.log
         )
-        self.owns(self._snapshot_upload.close)
+        self.add_cleanup(self._snapshot_upload.close)
         self._snapshots = FlowSnapshotStore(
             store=self.store,
             member_id=settings.node_id,
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -100,11 +100,11 @@
         self._caller_socket = open_datagram_socket(
             caller_packets.host, caller_packets.port
         )
-        self.owns(self._caller_socket.close)
+        self.add_cleanup(self._caller_socket.close)
         # Separate connections and a separate circuit breaker: failures to read the
         # configuration must not delay lease renewal or reading the members.
         configuration_store = PlatformStore(settings.store, stopping=self.stopping)
-        self.owns(configuration_store.close)
+        self.add_cleanup(configuration_store.close)
         self._follower = ConfigurationFollower(
             store=configuration_store,
             prefix=OPERATORS_PREFIX,
@@ -136,8 +136,8 @@
     def on_start(self) -> None:
         """Starts forwarding; it becomes ready with a configuration and ready agents."""
         super().on_start()
-        self.owns(self._follower.stop)
-        self.owns(self._cancel_fetch)
+        self.add_cleanup(self._follower.stop)
+        self.add_cleanup(self._cancel_fetch)
         self.spawn(self._follower.follow_until, self.stopping)
         self.spawn(self._snapshot_writer.write_until, self.stopping)
 
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -86,7 +86,7 @@
         self.random = Random()
         self.clock = monotonic_clock
         self.log = EventLog(process=settings.node_id, clock=self.clock)
-        self.owns(self.log.write)
+        self.add_cleanup(self.log.write)
         self.spawn(self.log.write_until, self.stopping)
         self.loop = EventLoop(clock=self.clock, log=self.log)
         own = Endpoint(settings.host, settings.peer_port)
@@ -105,9 +105,9 @@
         self.fleet = Fleet(self.member, now=self.clock())
         self._discovery = PeerDiscovery(self.fleet, own=self.member)
         self.peer_socket = open_datagram_socket(settings.host, settings.peer_port)
-        self.owns(self.peer_socket.close)
+        self.add_cleanup(self.peer_socket.close)
         self.store = PlatformStore(settings.store, stopping=self.stopping)
-        self.owns(self.store.close)
+        self.add_cleanup(self.store.close)
         self._registration = Registration(
             store=self.store,
             own=lambda: self.member,
@@ -158,7 +158,7 @@
             handler: Answers the requests.
         """
         server = HttpServer(self, endpoint.host, endpoint.port, handler, log=self.log)
-        self.owns(server.close)
+        self.add_cleanup(server.close)
         server.start()
 
     def on_stop(self) -> None:
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -105,7 +105,7 @@
 
     def start(self) -> None:
         """Starts the task that acts when something is due."""
-        self._application.owns(self._leave)
+        self._application.add_cleanup(self._leave)
         self._application.spawn(self._run)
 
     def change_own(self, *, state: MemberState, weight: int) -> None:
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -68,7 +68,7 @@
             at_once: Ends the wait when set; `stop` follows either way.
         """
 
-    def owns(self, clean_up: Callable[[], object]) -> None:
+    def add_cleanup(self, clean_up: Callable[[], object]) -> None:
         """Registers a clean-up; the last one registered runs first.
 
         Args:
--- a/src/siskinshift/runtime/node_application.py
+++ b/src/siskinshift/runtime/node_application.py
@@ -104,9 +104,9 @@
     def open_node(self) -> None:
         """Opens telemetry and the control server; what it opens is owned."""
         self.telemetry.start()
-        self.owns(self.telemetry.stop)
-        self.owns(self.data_socket.close)
-        self.owns(self._server.server_close)
-        self.owns(self._server.close_connections)
-        self.owns(self._server.shutdown)
+        self.add_cleanup(self.telemetry.stop)
+        self.add_cleanup(self.data_socket.close)
+        self.add_cleanup(self._server.server_close)
+        self.add_cleanup(self._server.close_connections)
+        self.add_cleanup(self._server.shutdown)
         self.spawn(self._server.serve_forever, ACCEPT_POLL_SECONDS)
--- a/src/siskinshift/standins/platform_store.py
+++ b/src/siskinshift/standins/platform_store.py
@@ -281,7 +281,7 @@
 
     def start(self) -> None:
         """Starts to serve."""
-        self._owner.owns(self._server.close)
+        self._owner.add_cleanup(self._server.close)
         self._server.start()
 
     def put(self, key: str, value: bytes) -> None:
