--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -123,7 +123,7 @@
         self.membership.start()
         self.spawn(self.data_socket.receive_until, self.stopping, self._on_datagram)
         self.spawn(self._flows.relay_until, self.stopping)
-        self.every(TICK_SECONDS, self._tick)
+        self.run_every(TICK_SECONDS, self._tick)
 
     def on_stop(self) -> None:
         """Says good-bye to callers and ends exchanges with the upstream."""
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -69,7 +69,7 @@
             return
         self.membership.views.subscribe(self._reader.update)
         self.add_cleanup(self._reader.stop)
-        self.every(TICK_SECONDS, self._reader.step)
+        self.run_every(TICK_SECONDS, self._reader.step)
 
     @property
     def operators_ports(self) -> list[int]:
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -90,7 +90,7 @@
         future.add_done_callback(self._report)
         return future
 
-    def every(self, interval: float, step: Callable[[], object]) -> None:
+    def run_every(self, interval: float, step: Callable[[], object]) -> None:
         """Runs a step again and again until the application stops.
 
         Args:
