--- a/src/siskinshift/demo/deployment.py
+++ b/src/siskinshift/demo/deployment.py
@@ -240,7 +240,7 @@
         Args:
             node_id: The balancer.
         """
-        self.balancers_by_id.pop(node_id).abandon()
+        self.balancers_by_id.pop(node_id).abort()
 
     def remove_balancer(self, node_id: str) -> None:
         """Lets a balancer leave in the planned way, as SIGTERM does.
@@ -260,7 +260,7 @@
             node_id: The agent.
         """
         self.killed.add(node_id)
-        self.agents_by_id.pop(node_id).abandon()
+        self.agents_by_id.pop(node_id).abort()
         self.upstreams_by_id[node_id].stop()
 
     def hold_views(self, node_id: str) -> Callable[[], None]:
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -56,7 +56,7 @@
         self._clean_ups.close()
         self.executor.shutdown(wait=True)
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """Stops without a word to anyone; failure tests and the demo call it."""
         self.is_abandoned = True
         self.stop()
