--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -127,7 +127,7 @@
 
     def on_stop(self) -> None:
         """Says good-bye to callers and ends exchanges with the upstream."""
-        self._request_flows.close(is_silent=self.is_abandoned)
+        self._request_flows.close(is_silent=self.is_aborted)
         self._runner.cancel_all()
         self._hand_over.cancel_all()
 
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -210,7 +210,7 @@
 
     def _leave(self) -> None:
         """Tells the watchers that this process ends, so that none has to wait."""
-        if self._application.is_abandoned:
+        if self._application.is_aborted:
             return
         with self._wake:
             self._participant.change_own(
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -24,7 +24,7 @@
 
     Attributes:
         stopping: Set once the application is to end.
-        is_abandoned: Whether it ends without a word, as a process does that dies.
+        is_aborted: Whether it ends without a word, as a process does that dies.
     """
 
     def __init__(self, *, name: str) -> None:
@@ -34,7 +34,7 @@
             name: Name of the process, for its threads.
         """
         self.stopping = threading.Event()
-        self.is_abandoned = False
+        self.is_aborted = False
         self._clean_ups = ExitStack()
         self._log = PartLog("runtime")
         self.executor = ThreadPoolExecutor(
@@ -58,7 +58,7 @@
 
     def abort(self) -> None:
         """Stops without a word to anyone; failure tests and the demo call it."""
-        self.is_abandoned = True
+        self.is_aborted = True
         self.stop()
 
     def leave(self, at_once: threading.Event) -> None:
