--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -133,9 +133,9 @@
             stopping: Ends the loop when set.
         """
         while not stopping.is_set():
-            self.turn()
+            self.run_once()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Runs due timers, waits for the next event and handles what has come."""
         wait = min(max(self._run_timers() - self._clock(), 0.0), WAIT_MAXIMUM_SECONDS)
         ready = [key for key, _ in self._selector.select(wait)]
