--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -140,7 +140,7 @@
 
     def add_sockets(self) -> None:
         """Hands the node's sockets and timers to its loop."""
-        self.loop.add_socket(self.peer_socket, self._on_peer_datagram, is_last=True)
+        self.loop.add_socket(self.peer_socket, self._on_peer_datagram, read_last=True)
         self.loop.add_timer(self._tick)
 
     def run(self) -> None:
--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -86,18 +86,18 @@
         opened: socket.socket,
         handle: DatagramHandler,
         *,
-        is_last: bool = False,
+        read_last: bool = False,
     ) -> None:
         """Hands a socket's datagrams to a handler.
 
         Args:
             opened: A socket of `open_datagram_socket`; the caller closes it.
             handle: Takes the datagram, its source and the time.
-            is_last: Whether it is read last in each turn, so that timers see all that
+            read_last: Whether it is read last in each turn, so that timers see all that
                 has come. Guards against an overloaded process that takes answers
                 which it has not read yet for missing and asks again.
         """
-        if is_last:
+        if read_last:
             self._last_sockets.append((opened, handle))
             self._read_last.add(opened)
         self._selector.register(opened, selectors.EVENT_READ, handle)
