--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -200,10 +200,10 @@
         try:
             envelope = self.codec.unpack_envelope(datagram)
         except WireError as error:
-            self.drops.dropped(error.kind, host=source[0], port=source[1])
+            self.drops.record(error.kind, host=source[0], port=source[1])
             return
         if envelope.hop_count > self.settings.flows.max_hops:
-            self.drops.dropped(ErrorKind.HOP_LIMIT, host=source[0], port=source[1])
+            self.drops.record(ErrorKind.HOP_LIMIT, host=source[0], port=source[1])
             return
         with self._lock:
             actions = self._router.on_envelope(envelope, now=monotonic_clock())
@@ -243,13 +243,13 @@
             elif isinstance(action, SendNotes):
                 self._notes_sender.send(action)
             elif isinstance(action, DropEnvelope):
-                self.drops.dropped(action.error)
+                self.drops.record(action.error)
 
     def _deliver(self, action: DeliverToFlow) -> None:
         view = self.membership.views.current
         service = view.services_by_id.get(action.service_id)
         if service is None:
-            self.drops.dropped(ErrorKind.UNKNOWN_ADDRESS)
+            self.drops.record(ErrorKind.UNKNOWN_ADDRESS)
         elif service.mode is ServiceMode.REQUEST:
             self._request_flows.deliver(action.flow_hash, service, action.packet)
         else:
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -127,11 +127,11 @@
         try:
             packet = self.codec.unpack(datagram)
         except WireError as error:
-            self.drops.dropped(error.kind, host=source[0], port=source[1])
+            self.drops.record(error.kind, host=source[0], port=source[1])
             return
         choice = self._chooser.choose(packet)
         if isinstance(choice, DropPacket):
-            self.drops.dropped(choice.error, caller=packet.caller.host)
+            self.drops.record(choice.error, caller=packet.caller.host)
             return
         envelope = Envelope(packet=packet, view_version=self._view_version)
         self.data_socket.send(self.codec.pack_envelope(envelope), choice.agent.data)
--- a/src/siskinshift/runtime/drops.py
+++ b/src/siskinshift/runtime/drops.py
@@ -29,7 +29,7 @@
         self._counters = counters
         self._log = PartLog(part)
 
-    def dropped(self, error: ErrorKind, **fields: str | int) -> None:
+    def record(self, error: ErrorKind, **fields: str | int) -> None:
         """Records a dropped datagram.
 
         Args:
