--- a/src/siskinshift/agent/datagram_flows.py
+++ b/src/siskinshift/agent/datagram_flows.py
@@ -13,7 +13,7 @@
 
 from siskinshift.core.packets import Packet
 from siskinshift.messages.core import Endpoint
-from siskinshift.runtime.datagrams import DATAGRAM_SIZE_MAXIMUM
+from siskinshift.runtime.datagrams import MAX_DATAGRAM_SIZE
 
 
 if TYPE_CHECKING:
@@ -128,7 +128,7 @@
 
     def _relay(self, flow: _DatagramFlow) -> None:
         try:
-            payload = flow.socket.recv(DATAGRAM_SIZE_MAXIMUM)
+            payload = flow.socket.recv(MAX_DATAGRAM_SIZE)
         except OSError:
             return
         flow.used_at = self._clock()
--- a/src/siskinshift/runtime/datagrams.py
+++ b/src/siskinshift/runtime/datagrams.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
 
-DATAGRAM_SIZE_MAXIMUM = 65535
+MAX_DATAGRAM_SIZE = 65535
 RECEIVE_BUFFER_BYTES = 4 << 20
 POLL_SECONDS = 0.2
 
@@ -62,7 +62,7 @@
         """
         while not stopping.is_set():
             try:
-                datagram, source = self._socket.recvfrom(DATAGRAM_SIZE_MAXIMUM)
+                datagram, source = self._socket.recvfrom(MAX_DATAGRAM_SIZE)
             except TimeoutError:
                 continue
             except OSError:
--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -21,7 +21,7 @@
     from siskinshift.observability.event_log import EventLog
 
 
-DATAGRAM_SIZE_MAXIMUM = 65535
+MAX_DATAGRAM_SIZE = 65535
 # Room for half a second of the busiest link's packets while the process starts or
 # stands still; the kernel may allow less.
 RECEIVE_BUFFER_BYTES = 1 << 20
@@ -179,7 +179,7 @@
 
     def _run_calls(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._wake_receiver.recv(DATAGRAM_SIZE_MAXIMUM)
+            self._wake_receiver.recv(MAX_DATAGRAM_SIZE)
         while self._calls:
             future, function = self._calls.popleft()
             try:
@@ -196,7 +196,7 @@
     ) -> None:
         for _ in range(count):
             try:
-                datagram, source = opened.recvfrom(DATAGRAM_SIZE_MAXIMUM)
+                datagram, source = opened.recvfrom(MAX_DATAGRAM_SIZE)
             except OSError:
                 # Nothing left, or the error of an earlier datagram that met no
                 # listener; the socket is good either way.
