--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -114,11 +114,11 @@
         self._handed_over_by_id: dict[int, _HandedOver] = {}
         self._exchanges_by_reservation: dict[str, UpstreamExchange] = {}
         runner.hand_over = self
-        routes.handles(RESERVE_PATH, ReserveSlot)(self._on_reserve)
-        routes.handles(RELEASE_PATH, ReleaseSlot)(self._on_release)
-        routes.handles(RUN_PATH, RunRequest)(self._on_run)
-        routes.handles(CANCEL_PATH, CancelRun)(self._on_cancel)
-        routes.handles(USAGE_PATH, UsageSums)(self._on_usage)
+        routes.route(RESERVE_PATH, ReserveSlot)(self._on_reserve)
+        routes.route(RELEASE_PATH, ReleaseSlot)(self._on_release)
+        routes.route(RUN_PATH, RunRequest)(self._on_run)
+        routes.route(CANCEL_PATH, CancelRun)(self._on_cancel)
+        routes.route(USAGE_PATH, UsageSums)(self._on_usage)
 
     def __len__(self) -> int:
         return len(self._exchanges_by_reservation)
--- a/src/siskinshift/control/server.py
+++ b/src/siskinshift/control/server.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self._routes_by_path: dict[str, _Route] = {}
 
-    def handles(
+    def route(
         self, path: str, message_type: type
     ) -> Callable[[MessageHandler], MessageHandler]:
         """Registers the decorated function for a path.
--- a/src/siskinshift/flows/notes_sender.py
+++ b/src/siskinshift/flows/notes_sender.py
@@ -124,7 +124,7 @@
         settings = application.settings.flows
         self._budget = ByteBudget(bytes_per_second=settings.notes_bytes_per_second)
         self._queues_by_endpoint: dict[Endpoint, _PeerQueue] = {}
-        routes.handles(FLOW_NOTES_PATH, FlowNotes)(self._receive)
+        routes.route(FLOW_NOTES_PATH, FlowNotes)(self._receive)
 
     def send(self, action: SendNotes) -> None:
         """Queues a message; returns at once.
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -96,7 +96,7 @@
             on_result=self._on_result,
         )
         for message_type, path in PATHS_BY_MESSAGE_TYPE.items():
-            routes.handles(path, message_type)(self._handler(path))
+            routes.route(path, message_type)(self._handler(path))
 
     @property
     def own(self) -> Member:
