--- a/src/siskinshift/core/__init__.py
+++ b/src/siskinshift/core/__init__.py
@@ -1,3 +1,3 @@
-"""Types and errors that every part shares."""
+"""Types and errors shared by all packages."""
 
 from __future__ import annotations
--- a/src/siskinshift/core/clocks.py
+++ b/src/siskinshift/core/clocks.py
@@ -1,4 +1,4 @@
-"""Time as processes see it; tests inject their own."""
+"""Clocks of a process; tests inject their own."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from typing import TypeAlias
 
 
-# Seconds that never go back within a process.
+# Monotonic time in seconds.
 Clock: TypeAlias = Callable[[], float]
 
 monotonic_clock: Clock = time.monotonic
 
 
 def unix_milliseconds() -> int:
-    """Reads the time for a new incarnation.
+    """Returns the wall-clock time, used as the incarnation of a new process.
 
     Returns:
-        Milliseconds since 1970.
+        Milliseconds since 1970-01-01 UTC.
     """
     return time.time_ns() // 1_000_000
--- a/src/siskinshift/core/endpoints.py
+++ b/src/siskinshift/core/endpoints.py
@@ -1,4 +1,4 @@
-"""Reading and writing of endpoints."""
+"""Parses and formats endpoints."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Reads "IP:port"; an IPv6 number stands in brackets.
+    """Parses "IP:port"; an IPv6 address is enclosed in brackets.
 
     Args:
-        text: The endpoint as text.
+        text: Text form of the endpoint.
 
     Returns:
         The endpoint.
 
     Raises:
-        ValueError: The text is no endpoint; the message says what is allowed.
+        ValueError: The text is not an endpoint; the message names the allowed form.
     """
     host, _, port_text = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -35,13 +35,13 @@
 
 
 def format_endpoint(endpoint: Endpoint) -> str:
-    """Writes an endpoint as `parse_endpoint` reads it.
+    """Formats an endpoint in the form that `parse_endpoint` reads.
 
     Args:
         endpoint: The endpoint.
 
     Returns:
-        Its text.
+        Text form of the endpoint.
     """
     if ":" in endpoint.host:
         return f"[{endpoint.host}]:{endpoint.port}"
--- a/src/siskinshift/core/flows.py
+++ b/src/siskinshift/core/flows.py
@@ -1,4 +1,4 @@
-"""Identity of flows."""
+"""Computes the hash that identifies a flow."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def flow_hash(*, caller: Endpoint, service_address: Endpoint) -> int:
-    """Hashes the pair of endpoints that names a flow.
+    """Hashes the pair of endpoints that identifies a flow.
 
     Args:
         caller: The caller's endpoint.
         service_address: The service address.
 
     Returns:
-        A 64-bit hash, the same in every process.
+        A 64-bit hash that is the same in all processes.
     """
     ports = (caller.port << 16 | service_address.port).to_bytes(4, "big")
     hosts = _host_bytes(caller.host) + _host_bytes(service_address.host)
--- a/src/siskinshift/core/http.py
+++ b/src/siskinshift/core/http.py
@@ -1,4 +1,4 @@
-"""An answer to an HTTP call, whatever carried it."""
+"""HTTP response, independent of the client that received it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @frozen
 class HttpResponse:
-    """Answer to a call.
+    """Response to an HTTP request.
 
     Attributes:
-        status: HTTP status.
-        body: Body of the answer.
+        status: HTTP status code.
+        body: Response body.
     """
 
     status: int
--- a/src/siskinshift/core/keyring.py
+++ b/src/siskinshift/core/keyring.py
@@ -1,4 +1,4 @@
-"""Keyed authenticators by which processes of the system know each other."""
+"""Keyed authenticators for messages between processes of the system."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 
 
 class KeyRing:
-    """Signs with the current key; accepts the previous one during a rotation."""
+    """Signs with the current key; also accepts the previous one during a rotation."""
 
     def __init__(self, settings: KeysSettings) -> None:
         texts = [settings.current.value, settings.previous.value]
-        self._keys = [_derived_key(text) for text in texts if text]
+        self._keys = [_derive_key(text) for text in texts if text]
 
     def sign(self, data: bytes) -> bytes:
-        """Computes the authenticator of some bytes.
+        """Computes the authenticator of the data.
 
         Args:
-            data: The bytes.
+            data: Data to sign.
 
         Returns:
-            DIGEST_SIZE bytes.
+            Authenticator of DIGEST_SIZE bytes.
         """
         return _digest(self._keys[0], data)
 
     def verify(self, data: bytes, authenticator: bytes) -> bool:
-        """Checks an authenticator against each accepted key.
+        """Verifies an authenticator against each accepted key.
 
         Args:
-            data: The bytes it should belong to.
-            authenticator: What came with them.
+            data: Data that was signed.
+            authenticator: Authenticator received with the data.
 
         Returns:
-            Whether a process that holds a key made it.
+            Whether it was computed with an accepted key.
         """
         return any(
             hmac.compare_digest(_digest(key, data), authenticator) for key in self._keys
         )
 
 
-def _derived_key(text: str) -> bytes:
-    # BLAKE2b takes keys up to 64 bytes; operators' secrets may be longer.
+def _derive_key(text: str) -> bytes:
+    # BLAKE2b accepts keys of up to 64 bytes; configured secrets may be longer.
     return hashlib.blake2b(text.encode(), digest_size=32).digest()
 
 
--- a/src/siskinshift/core/members.py
+++ b/src/siskinshift/core/members.py
@@ -1,7 +1,7 @@
-"""Facts about members that every part shares."""
+"""Constants of members shared by all packages."""
 
 from __future__ import annotations
 
 
-# Weights are thousandths of a full agent.
+# Weights are in thousandths of a full agent.
 FULL_WEIGHT = 1000
--- a/src/siskinshift/core/packets.py
+++ b/src/siskinshift/core/packets.py
@@ -1,4 +1,4 @@
-"""Datagrams of callers and their envelope inside the system."""
+"""Datagrams of callers and the envelopes that carry them between processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     Attributes:
         caller: The caller's endpoint.
         service_address: The service address.
-        payload: The datagram, unchanged.
+        payload: Payload of the datagram, unchanged.
     """
 
     caller: Endpoint
@@ -24,17 +24,17 @@
 
 @frozen
 class Envelope:
-    """A packet on its way between processes of the system.
+    """A packet forwarded between processes of the system.
 
     Attributes:
         packet: The caller's datagram.
-        hop_count: Times it was passed on between agents; 0 from a balancer.
-        view_version: The sender's view, for diagnosis.
-        querier_id: Agent that is looking for the flow's owner; empty if none is. In an
-            answer to the asker, the agent that answers.
-        may_create: Answer: nobody owns the flow, and the asker may create it.
-        disclaimed: Answer: the agent that was asked does not own the flow and can't
-            say who does.
+        hop_count: Number of hops between agents; 0 when sent by a balancer.
+        view_version: Version of the sender's view, for diagnostics.
+        querier_id: Agent that looks up the flow's owner; empty outside of a lookup.
+            In a reply to the querier, the agent that replies.
+        may_create: In a reply: no agent owns the flow and the querier may create it.
+        disclaimed: In a reply: the queried agent doesn't own the flow and has no
+            record of its owner.
     """
 
     packet: Packet
--- a/src/siskinshift/core/requests.py
+++ b/src/siskinshift/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and the actions of admission."""
+"""Requests of callers and the actions of admission control."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class RunResult(StrEnum):
-    """How a request that was started came to its end."""
+    """How a started request ended."""
 
     ANSWERED = "answered"
-    """The upstream gave a whole answer."""
+    """The upstream sent a complete response."""
     SHED = "shed"
-    """The upstream gave a whole answer that says it has too much to do."""
+    """The upstream sent a complete response that reports overload."""
     LOST = "lost"
-    """The request was offered and no whole answer came."""
+    """The request was sent and no complete response arrived."""
     NOT_OFFERED = "not_offered"
-    """No byte of the request reached any upstream."""
+    """No byte of the request reached an upstream."""
 
 
 @frozen
 class Request:
-    """A caller's request as admission sees it.
+    """A caller's request as seen by admission control.
 
     Attributes:
-        request_id: Number unique in the agent's incarnation.
-        service_id: Service it is meant for.
-        group_id: Group whose credential it carried; empty when none.
-        caller: The caller's IP number.
-        key: Idempotency key, or empty.
-        repeatable: Whether running it twice does no harm.
-        arrived_at: Clock reading at arrival, seconds.
-        deadline: Clock reading after which the answer is of no use, seconds.
-        pinned: Whether it must run at the agent it arrived at: a stream, or too large
-            to be handed over.
+        request_id: Number unique within the agent's incarnation.
+        service_id: Service that the request addresses.
+        group_id: Group whose credential the request carried; empty for none.
+        caller: IP address of the caller.
+        key: Idempotency key; empty for none.
+        repeatable: Whether the request is idempotent and may be retried.
+        arrived_at: Time of arrival, seconds.
+        deadline: Time after which the caller discards the response, seconds.
+        pinned: Whether it must run at the agent that received it: a stream, or a
+            request too large to hand over.
     """
 
     request_id: int
@@ -54,7 +54,7 @@
 
 @frozen
 class StartRequest:
-    """Action: offer the request to the agent's own upstream now.
+    """Action: send the request to the agent's own upstream now.
 
     Attributes:
         request_id: The request.
@@ -65,12 +65,12 @@
 
 @frozen
 class RefuseRequest:
-    """Action: give the caller the final answer at once; the request did not run.
+    """Action: send the caller the final response now; the request did not run.
 
     Attributes:
         request_id: The request.
-        error: Why.
-        retry_after: Hint in seconds.
+        error: Reason.
+        retry_after: Suggested delay before a retry, seconds.
     """
 
     request_id: int
@@ -80,11 +80,11 @@
 
 @frozen
 class FailRequest:
-    """Action: give the caller the final answer at once; the request may have run.
+    """Action: send the caller the final response now; the request may have run.
 
     Attributes:
         request_id: The request.
-        error: Why.
+        error: Reason.
     """
 
     request_id: int
@@ -93,13 +93,13 @@
 
 @frozen
 class ReserveAtPeer:
-    """Action: ask a peer to reserve a slot for a queued request.
+    """Action: request a slot reservation from a peer for a queued request.
 
     Attributes:
         request_id: The request.
         peer_id: Member id of the peer.
-        reservation_id: Name of the reservation, used once.
-        wait: Seconds the peer may let it wait for a slot.
+        reservation_id: Id of the reservation, used once.
+        wait: Longest time the peer may queue the reservation, seconds.
     """
 
     request_id: int
@@ -110,7 +110,7 @@
 
 @frozen
 class ReleaseAtPeer:
-    """Action: give a reservation at a peer back, granted or still waiting.
+    """Action: release a reservation at a peer, granted or still queued.
 
     Attributes:
         peer_id: Member id of the peer.
@@ -123,12 +123,12 @@
 
 @frozen
 class RunAtPeer:
-    """Action: offer the request to the peer that reserved a slot for it.
+    """Action: send the request to the peer that reserved a slot for it.
 
     Attributes:
         request_id: The request.
         peer_id: Member id of the peer.
-        reservation_id: The reservation that it uses up.
+        reservation_id: The reservation that the request consumes.
     """
 
     request_id: int
@@ -138,11 +138,11 @@
 
 @frozen
 class AnswerReservation:
-    """Action: tell a peer whether a slot is held for its request.
+    """Action: reply to a peer whether a slot is reserved for its request.
 
     Attributes:
         reservation_id: The reservation.
-        granted: Whether a slot is held.
+        granted: Whether a slot is reserved.
     """
 
     reservation_id: str
@@ -151,7 +151,7 @@
 
 @frozen
 class CancelAtUpstream:
-    """Action: pass the caller's cancel to the upstream that runs the request.
+    """Action: forward the caller's cancellation to the upstream that runs the request.
 
     Attributes:
         request_id: The request.
@@ -173,10 +173,10 @@
 
 
 class RequestGate(Protocol):
-    """Decides what becomes of requests; no I/O, no clock of its own."""
+    """Admission control of requests, without I/O and without a clock."""
 
     def submit(self, request: Request, *, now: float) -> list[GateAction]:
-        """Takes a request that arrived."""
+        """Handles a request that arrived."""
 
     def finished(
         self,
@@ -186,17 +186,17 @@
         now: float,
         result: RunResult | None = None,
     ) -> list[GateAction]:
-        """Takes the end of a started request; frees its slot.
+        """Handles the end of a started request and frees its slot.
 
-        With `result` given, a request that got no answer is ended by an action of
-        the gate: started again, refused or failed. Without it the driver answers.
+        If `result` is given, the returned actions complete a request without a
+        response: it is restarted, refused or failed. Otherwise the driver responds.
         """
 
     def cancel(self, request_id: int, *, now: float) -> list[GateAction]:
-        """Takes a caller's cancel."""
+        """Handles a caller's cancellation."""
 
     def drain(self, *, now: float) -> list[GateAction]:
-        """Stops to admit; queued requests still run."""
+        """Stops admitting requests; queued ones still run."""
 
     def tick(self, *, now: float) -> list[GateAction]:
-        """Lets time pass; call at least every 50 ms."""
+        """Handles timeouts; must be called at least every 50 ms."""
