--- a/src/siskinshift/control/__init__.py
+++ b/src/siskinshift/control/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP with JSON between the system's processes."""
+"""JSON over HTTP between the processes of the system."""
 
 from __future__ import annotations
--- a/src/siskinshift/control/client.py
+++ b/src/siskinshift/control/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for messages between processes; one kept connection a peer."""
+"""HTTP client for messages between processes; keeps one connection per peer."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from attrs import frozen
 
-from siskinshift.control.codec import MESSAGE_SIZE_MAXIMUM
+from siskinshift.control.codec import MAX_MESSAGE_SIZE
+from siskinshift.control.codec import compress_body
 from siskinshift.control.codec import decode_message
+from siskinshift.control.codec import decompress_body
 from siskinshift.control.codec import encode_message
-from siskinshift.control.codec import pack
-from siskinshift.control.codec import unpack
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.control.exceptions import PeerUnreachableError
 from siskinshift.control.server import AUTHENTICATOR_HEADER
 from siskinshift.control.server import ENCODING_HEADER
 from siskinshift.control.signatures import sign_message
-from siskinshift.control.signatures import verifies_reply
+from siskinshift.control.signatures import verify_reply
 from siskinshift.messages.control import ErrorReply
 
 
@@ -34,33 +34,33 @@
 
 
 @frozen
-class _Answer:
+class _Response:
     status: int
     body: bytes
     signature: str
     encoding: str
 
 
-def _told(answer: _Answer) -> str:
+def _error_text(response: _Response) -> str:
     try:
-        refusal = decode_message(answer.body, ErrorReply)
+        error = decode_message(response.body, ErrorReply)
     except BadMessageError:
-        return f"status {answer.status}"
-    return f"{refusal.error}: {refusal.detail}"
+        return f"status {response.status}"
+    return f"{error.error}: {error.detail}"
 
 
 class ControlClient:
-    """Sends messages to one peer; safe to share between threads."""
+    """Sends messages to one peer; thread-safe."""
 
     def __init__(
         self, *, endpoint: Endpoint, key_ring: KeyRing, timeout: float
     ) -> None:
-        """Prepares a client; connects on first use.
+        """Initializes the client; the first call connects.
 
         Args:
             endpoint: The peer's control endpoint.
             key_ring: Keys of the deployment.
-            timeout: Seconds allowed for each step on the socket.
+            timeout: Timeout of each socket operation, seconds.
         """
         self._endpoint = endpoint
         self._key_ring = key_ring
@@ -72,7 +72,7 @@
         """Sends a message and waits for the reply.
 
         Args:
-            path: Path of the handler.
+            path: URL path of the handler.
             message: An instance of a generated class.
             reply_type: Generated class of the reply.
 
@@ -80,39 +80,45 @@
             The reply.
 
         Raises:
-            PeerUnreachableError: No good answer came in time.
-            BadMessageError: The answer can't be read.
+            PeerUnreachableError: No valid reply arrived in time.
+            BadMessageError: The reply can't be decoded.
         """
-        body, encoding = pack(encode_message(message))
+        body, encoding = compress_body(encode_message(message))
         signature = sign_message(self._key_ring, path, body)
         with self._lock:
-            answer = self._exchange(path, body, signature, encoding)
-        if not verifies_reply(self._key_ring, signature, answer.body, answer.signature):
-            raise PeerUnreachableError(f"{self._endpoint.host}: unsigned answer")
-        if answer.status != HTTPStatus.OK:
-            raise PeerUnreachableError(f"{self._endpoint.host}: {_told(answer)}")
-        return decode_message(unpack(answer.body, answer.encoding), reply_type)
+            response = self._exchange(path, body, signature, encoding)
+        if not verify_reply(
+            self._key_ring, signature, response.body, response.signature
+        ):
+            raise PeerUnreachableError(f"{self._endpoint.host}: unsigned reply")
+        if response.status != HTTPStatus.OK:
+            raise PeerUnreachableError(
+                f"{self._endpoint.host}: {_error_text(response)}"
+            )
+        return decode_message(
+            decompress_body(response.body, response.encoding), reply_type
+        )
 
     def close(self) -> None:
-        """Closes the kept connection."""
+        """Closes the connection."""
         with self._lock:
             self._drop_connection()
 
     def _exchange(
         self, path: str, body: bytes, signature: str, encoding: str
-    ) -> _Answer:
-        kept = self._connection is not None
+    ) -> _Response:
+        is_reused = self._connection is not None
         try:
             return self._exchange_once(path, body, signature, encoding)
         except TimeoutError as error:
-            # The time allowed is spent: no second try within one call.
+            # The timeout has elapsed: no second attempt within one call.
             self._drop_connection()
             raise PeerUnreachableError(str(error)) from error
         except (OSError, http.client.HTTPException) as error:
             self._drop_connection()
-            if not kept:
+            if not is_reused:
                 raise PeerUnreachableError(str(error)) from error
-        # The peer may have closed a kept connection while it was idle.
+        # The peer may have closed the connection while it was idle.
         try:
             return self._exchange_once(path, body, signature, encoding)
         except (OSError, http.client.HTTPException) as error:
@@ -121,7 +127,7 @@
 
     def _exchange_once(
         self, path: str, body: bytes, signature: str, encoding: str
-    ) -> _Answer:
+    ) -> _Response:
         connection = self._connection or self._connect()
         connection.putrequest("POST", path, skip_accept_encoding=True)
         connection.putheader("Content-Length", str(len(body)))
@@ -130,10 +136,10 @@
             connection.putheader(ENCODING_HEADER, encoding)
         connection.endheaders(body)
         response = connection.getresponse()
-        data = response.read(MESSAGE_SIZE_MAXIMUM + 1)
-        if len(data) > MESSAGE_SIZE_MAXIMUM:
-            raise http.client.HTTPException("answer too long")
-        return _Answer(
+        data = response.read(MAX_MESSAGE_SIZE + 1)
+        if len(data) > MAX_MESSAGE_SIZE:
+            raise http.client.HTTPException("response too long")
+        return _Response(
             status=response.status,
             body=data,
             signature=response.getheader(AUTHENTICATOR_HEADER, ""),
--- a/src/siskinshift/control/codec.py
+++ b/src/siskinshift/control/codec.py
@@ -1,4 +1,4 @@
-"""JSON of the messages between processes, packed when that pays."""
+"""Encodes messages between processes as JSON and compresses long ones."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 MessageT = TypeVar("MessageT")
 
-MESSAGE_SIZE_MAXIMUM = 4 << 20
-# A message up to this size fits into one segment anyway.
-PACK_ABOVE_BYTES = 512
+MAX_MESSAGE_SIZE = 4 << 20
+# Smaller messages fit into one segment without compression.
+COMPRESSION_THRESHOLD_BYTES = 512
 # The lowest level takes a fifth of the time of the default for a tenth more bytes.
-PACK_LEVEL = 1
-PACKED_ENCODING = "deflate"
+COMPRESSION_LEVEL = 1
+COMPRESSED_ENCODING = "deflate"
 
 _converter = make_converter(
     forbid_extra_keys=False, omit_if_default=True, detailed_validation=False
 )
 
 
-def _exactly(kind: type, *also: type) -> None:
-    """Refuses values of another JSON type, which the library would convert."""
-    allowed = (kind, *also)
+def _register_strict_hook(kind: type, *others: type) -> None:
+    """Rejects values of other JSON types, which cattrs would convert."""
+    allowed = (kind, *others)
 
     def structure(value: Any, _: type) -> Any:
         if type(value) not in allowed:
@@ -40,17 +40,17 @@
     _converter.register_structure_hook(kind, structure)
 
 
-_exactly(str)
-_exactly(int)
-_exactly(bool)
-_exactly(float, int)
-# Enums of messages derive from str, whose hook above would leave them plain text: a
-# state that equals its name but is not the member, so that `is` fails.
+_register_strict_hook(str)
+_register_strict_hook(int)
+_register_strict_hook(bool)
+_register_strict_hook(float, int)
+# Enums of messages derive from str. The hook for str would decode them as plain
+# strings, which are equal to the enum members but fail comparisons with `is`.
 _converter.register_structure_hook(StrEnum, lambda value, kind: kind(value))
 
 
 def encode_message(message: object) -> bytes:
-    """Writes a message.
+    """Encodes a message.
 
     Args:
         message: An instance of a generated class.
@@ -62,7 +62,7 @@
 
 
 def decode_message(data: bytes, message_type: type[MessageT]) -> MessageT:
-    """Reads a message; unknown keys are passed over, so that versions can mix.
+    """Decodes a message; ignores unknown keys, so that versions can be mixed.
 
     Args:
         data: JSON in UTF-8.
@@ -72,7 +72,7 @@
         The message.
 
     Raises:
-        BadMessageError: The bytes are no such message.
+        BadMessageError: The data is not a valid message of this class.
     """
     try:
         return _converter.structure(orjson.loads(data), message_type)
@@ -87,44 +87,45 @@
         raise BadMessageError(f"not a {message_type.__name__}") from error
 
 
-def pack(body: bytes) -> tuple[bytes, str]:
-    """Packs a message body when it is long.
+def compress_body(body: bytes) -> tuple[bytes, str]:
+    """Compresses a message body longer than COMPRESSION_THRESHOLD_BYTES.
 
     Args:
         body: JSON.
 
     Returns:
-        The body to send and its content encoding, "" for none.
+        The body to send and its content encoding; "" for none.
     """
-    if len(body) <= PACK_ABOVE_BYTES:
+    if len(body) <= COMPRESSION_THRESHOLD_BYTES:
         return body, ""
-    return zlib.compress(body, PACK_LEVEL), PACKED_ENCODING
+    return zlib.compress(body, COMPRESSION_LEVEL), COMPRESSED_ENCODING
 
 
-def unpack(body: bytes, encoding: str) -> bytes:
-    """Undoes `pack`.
+def decompress_body(body: bytes, encoding: str) -> bytes:
+    """Decompresses a message body, the inverse of `compress_body`.
 
     Args:
-        body: The body as it arrived.
-        encoding: Its content encoding.
+        body: Body as received.
+        encoding: Content encoding; "" for none.
 
     Returns:
         JSON.
 
     Raises:
-        BadMessageError: The body is not packed so, or is too long unpacked.
+        BadMessageError: The encoding is unknown, or the body is damaged or too long
+            when decompressed.
     """
     if not encoding:
         return body
-    if encoding != PACKED_ENCODING:
+    if encoding != COMPRESSED_ENCODING:
         raise BadMessageError("unknown content encoding")
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        # Failure: a few packed bytes that unpack to gigabytes. The bound holds
-        # while unpacking, before the memory is taken.
-        data = unpacker.decompress(body, MESSAGE_SIZE_MAXIMUM)
+        # Guards against a few compressed bytes that expand to gigabytes: the limit
+        # applies during decompression, before the memory is allocated.
+        data = decompressor.decompress(body, MAX_MESSAGE_SIZE)
     except zlib.error as error:
-        raise BadMessageError("not packed as it says") from error
-    if not unpacker.eof:
-        raise BadMessageError("cut short or too long unpacked")
+        raise BadMessageError("body is not valid deflate data") from error
+    if not decompressor.eof:
+        raise BadMessageError("compressed body is truncated or too long")
     return data
--- a/src/siskinshift/control/documents.py
+++ b/src/siskinshift/control/documents.py
@@ -1,11 +1,12 @@
-"""Fields of JSON documents that any writer may have got wrong.
+"""Parses JSON documents and validates their fields.
 
-A number sent as text, a boolean where a count belongs, a fraction, a figure beyond all
-measure: Python would take most of them and fail later, elsewhere. Each reader here
-takes one type and one range and names the field that is wrong.
+Documents come from other systems and may hold a number as a string, a boolean instead
+of a count, a fraction or a number out of range. Python would accept most of these and
+fail later, so each getter accepts one type and one range and names the invalid field.
 
-The standard library's parser, since nodes load this: the one that other parts use
-loads `inspect`, `dataclasses` and `uuid` with it, a sixth of a node's start.
+Uses the parser of the standard library, because nodes load this module. The parser of
+the other packages imports `inspect`, `dataclasses` and `uuid`, which takes a sixth of a
+node's start time.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 from siskinshift.control.exceptions import BadMessageError
 
 
-# Counts and times beyond this are nonsense, and do not fit into packed messages.
-WHOLE_MAXIMUM = (1 << 53) - 1
-TEXT_SIZE_MAXIMUM = 200
-# A document may be a megabyte; its line in the log may not.
-SHOWN_SIZE_MAXIMUM = 60
+# Larger counts and times are invalid and do not fit into binary messages.
+MAX_INTEGER = (1 << 53) - 1
+MAX_STRING_LENGTH = 200
+# Limits the length of log lines; a document may be a megabyte.
+MAX_LOGGED_LENGTH = 60
 
 
 _encoder = json.JSONEncoder(separators=(",", ":"))
 
 
 def encode_json(value: object) -> bytes:
-    """Writes a JSON document without spaces.
+    """Encodes a JSON document without spaces.
 
     Args:
-        value: Tables, lists, texts, numbers, booleans, None.
+        value: Objects, lists, strings, numbers, booleans, None.
 
     Returns:
-        Its bytes.
+        Encoded document.
     """
     return _encoder.encode(value).encode()
 
@@ -43,71 +44,74 @@
     """Parses a JSON object.
 
     Args:
-        data: Its bytes.
+        data: Encoded document.
 
     Returns:
         The object.
 
     Raises:
-        BadMessageError: It is none.
+        BadMessageError: The document is not a JSON object.
     """
     try:
-        return as_table(json.loads(data))
+        return as_object(json.loads(data))
     except (ValueError, RecursionError) as error:
-        raise BadMessageError(f"no JSON: {str(error)[:SHOWN_SIZE_MAXIMUM]}") from error
+        raise BadMessageError(
+            f"invalid JSON: {str(error)[:MAX_LOGGED_LENGTH]}"
+        ) from error
 
 
-def as_table(value: object) -> dict[str, Any]:
-    """Takes a JSON object.
+def as_object(value: object) -> dict[str, Any]:
+    """Returns a value that must be a JSON object.
 
     Raises:
-        BadMessageError: It is something else.
+        BadMessageError: The value is of another type.
     """
     if not isinstance(value, dict):
-        raise _fault("document", value, "an object")
+        raise _invalid_field("document", value, "an object")
     return value
 
 
 def get_object(document: dict[str, Any], name: str) -> dict[str, Any]:
-    """Reads a field that is an object.
+    """Returns a field that must be an object.
 
     Raises:
-        BadMessageError: It is missing or something else.
+        BadMessageError: It is missing or of another type.
     """
     value = document.get(name)
     if not isinstance(value, dict):
-        raise _fault(name, value, "an object")
+        raise _invalid_field(name, value, "an object")
     return value
 
 
 def get_objects(document: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    """Reads a field that is a list of objects.
+    """Returns a field that must be a list of objects.
 
     Raises:
-        BadMessageError: It is missing or something else.
+        BadMessageError: It is missing or of another type.
     """
     value = document.get(name)
     if not isinstance(value, list):
-        raise _fault(name, value, "a list")
-    return [as_table(row) for row in value]
+        raise _invalid_field(name, value, "a list")
+    return [as_object(row) for row in value]
 
 
 def get_string(
     document: dict[str, Any], name: str, *, allow_empty: bool = False
 ) -> str:
-    """Reads a field that is a text.
+    """Returns a field that must be a printable string.
 
     Raises:
-        BadMessageError: It is missing, empty without leave, too long or something else.
+        BadMessageError: It is missing, empty unless allowed, too long, not printable or
+            of another type.
     """
     value = document.get(name)
-    if not isinstance(value, str) or len(value) > TEXT_SIZE_MAXIMUM:
-        raise _fault(name, value, "a short text")
+    if not isinstance(value, str) or len(value) > MAX_STRING_LENGTH:
+        raise _invalid_field(name, value, "a short string")
     if not value.isprintable():
-        # Among others the halves of a character that no encoding takes.
-        raise _fault(name, value, "a text that can be printed")
+        # This includes lone surrogates, which can't be encoded.
+        raise _invalid_field(name, value, "a printable string")
     if not value and not allow_empty:
-        raise _fault(name, value, "a text")
+        raise _invalid_field(name, value, "a non-empty string")
     return value
 
 
@@ -116,33 +120,33 @@
     name: str,
     *,
     minimum: int = 0,
-    maximum: int = WHOLE_MAXIMUM,
+    maximum: int = MAX_INTEGER,
 ) -> int:
-    """Reads a field that is a whole number.
+    """Returns a field that must be an integer.
 
     Raises:
-        BadMessageError: It is missing, out of range or something else.
+        BadMessageError: It is missing, out of range or of another type.
     """
     value: Any = document.get(name)
-    is_whole = isinstance(value, int) and not isinstance(value, bool)
-    if not is_whole or not minimum <= value <= maximum:
-        raise _fault(name, value, f"a whole number from {minimum} to {maximum}")
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    if not is_integer or not minimum <= value <= maximum:
+        raise _invalid_field(name, value, f"an integer from {minimum} to {maximum}")
     return int(value)
 
 
 def get_number(document: dict[str, Any], name: str, *, maximum: float) -> float:
-    """Reads a field that is a number from zero on, a fraction or not.
+    """Returns a field that must be a non-negative number, integer or float.
 
     Raises:
-        BadMessageError: It is missing, out of range or something else.
+        BadMessageError: It is missing, out of range or of another type.
     """
     value: Any = document.get(name)
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not is_number or math.isnan(value) or not 0 <= value <= maximum:
-        raise _fault(name, value, f"a number from 0 to {maximum}")
+        raise _invalid_field(name, value, f"a number from 0 to {maximum}")
     return float(value)
 
 
-def _fault(name: str, value: object, allowed: str) -> BadMessageError:
-    shown = repr(value)[:SHOWN_SIZE_MAXIMUM]
-    return BadMessageError(f"{name}: {shown}; allowed: {allowed}")
+def _invalid_field(name: str, value: object, allowed: str) -> BadMessageError:
+    excerpt = repr(value)[:MAX_LOGGED_LENGTH]
+    return BadMessageError(f"{name}: {excerpt}; allowed: {allowed}")
--- a/src/siskinshift/control/exceptions.py
+++ b/src/siskinshift/control/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors between the system's processes."""
+"""Errors of communication between processes."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class BadMessageError(SiskinshiftError):
-    """A message that can't be read."""
+    """A message that can't be decoded."""
 
     kind = ErrorKind.BAD_MESSAGE
 
 
 class PeerUnreachableError(SiskinshiftError):
-    """A peer that did not answer in time, or answered with an error."""
+    """A peer that did not reply in time or replied with an error."""
 
     kind = ErrorKind.PEER_UNREACHABLE
--- a/src/siskinshift/control/server.py
+++ b/src/siskinshift/control/server.py
@@ -1,4 +1,4 @@
-"""HTTP server for messages between processes; one task for each connection."""
+"""HTTP server for messages between processes, with one task per connection."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from attrs import frozen
 
-from siskinshift.control.codec import MESSAGE_SIZE_MAXIMUM
+from siskinshift.control.codec import MAX_MESSAGE_SIZE
+from siskinshift.control.codec import compress_body
 from siskinshift.control.codec import decode_message
+from siskinshift.control.codec import decompress_body
 from siskinshift.control.codec import encode_message
-from siskinshift.control.codec import pack
-from siskinshift.control.codec import unpack
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.control.signatures import sign_reply
-from siskinshift.control.signatures import verifies_message
+from siskinshift.control.signatures import verify_message
 from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.core.errors import ErrorKind
 from siskinshift.exceptions import SiskinshiftError
@@ -48,7 +48,7 @@
 
 
 class ControlRoutes:
-    """Registry of message handlers by path, filled by a decorator."""
+    """Registry of message handlers by URL path."""
 
     def __init__(self) -> None:
         self._routes_by_path: dict[str, _Route] = {}
@@ -56,11 +56,11 @@
     def route(
         self, path: str, message_type: type
     ) -> Callable[[MessageHandler], MessageHandler]:
-        """Registers the decorated function for a path.
+        """Returns a decorator that registers a handler.
 
         Args:
-            path: Path of the URL.
-            message_type: Generated class of the message it takes.
+            path: URL path.
+            message_type: Generated class of the messages that it handles.
 
         Returns:
             The decorator.
@@ -73,25 +73,25 @@
         return register
 
     def find(self, path: str) -> _Route | None:
-        """Finds the handler of a path.
+        """Looks up the handler of a path.
 
         Args:
-            path: Path of the URL.
+            path: URL path.
 
         Returns:
-            The route, or None.
+            The route, or None for an unknown path.
         """
         return self._routes_by_path.get(path)
 
 
 @frozen
-class ControlAnswer:
-    """What goes back to the sender of a message.
+class ControlResponse:
+    """Response to the sender of a message.
 
     Attributes:
-        status: HTTP status.
-        body: Body as it is sent.
-        encoding: Its content encoding, "" for none.
+        status: HTTP status code.
+        body: Body as sent.
+        encoding: Content encoding of the body; "" for none.
     """
 
     status: int
@@ -99,16 +99,16 @@
     encoding: str = ""
 
 
-def _refusal(kind: ErrorKind, detail: str) -> ControlAnswer:
+def _error_response(kind: ErrorKind, detail: str) -> ControlResponse:
     body = encode_message(ErrorReply(error=kind.value, detail=detail))
-    return ControlAnswer(ERROR_RESPONSES_BY_KIND[kind].http_status, body)
+    return ControlResponse(ERROR_RESPONSES_BY_KIND[kind].http_status, body)
 
 
 class _ControlHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
     timeout = IDLE_TIMEOUT_SECONDS
     disable_nagle_algorithm = True
-    # Head and body of an answer leave in one segment.
+    # Buffers responses, so that head and body are sent in one segment.
     wbufsize = -1
     server: ControlServer
 
@@ -116,7 +116,7 @@
         size = self._content_length()
         if size is None:
             self.close_connection = True
-            self._answer(_refusal(ErrorKind.TOO_LARGE, "content length"), "")
+            self._send(_error_response(ErrorKind.TOO_LARGE, "content length"), "")
             return
         body = self.rfile.read(size)
         if len(body) < size:
@@ -124,35 +124,37 @@
             return
         signature = self.headers.get(AUTHENTICATOR_HEADER, "")
         encoding = self.headers.get(ENCODING_HEADER, "")
-        answer = self.server.answer(self.path, body, signature, encoding=encoding)
-        self._answer(answer, signature)
+        response = self.server.handle_message(
+            self.path, body, signature, encoding=encoding
+        )
+        self._send(response, signature)
 
     def _content_length(self) -> int | None:
         try:
             size = int(self.headers.get("Content-Length", "0"))
         except ValueError:
             return None
-        return size if 0 <= size <= MESSAGE_SIZE_MAXIMUM else None
-
-    def _answer(self, answer: ControlAnswer, signature: str) -> None:
-        # No Server and Date: they'd be a third of a heartbeat's answer.
-        self.send_response_only(answer.status)
-        self.send_header("Content-Length", str(len(answer.body)))
-        if answer.encoding:
-            self.send_header(ENCODING_HEADER, answer.encoding)
+        return size if 0 <= size <= MAX_MESSAGE_SIZE else None
+
+    def _send(self, response: ControlResponse, signature: str) -> None:
+        # Without Server and Date, which would be a third of a heartbeat's response.
+        self.send_response_only(response.status)
+        self.send_header("Content-Length", str(len(response.body)))
+        if response.encoding:
+            self.send_header(ENCODING_HEADER, response.encoding)
         self.send_header(
-            AUTHENTICATOR_HEADER, self.server.sign_reply(signature, answer.body)
+            AUTHENTICATOR_HEADER, self.server.sign_reply(signature, response.body)
         )
         self.end_headers()
-        self.wfile.write(answer.body)
+        self.wfile.write(response.body)
         self.wfile.flush()
 
     def log_message(self, format: str, *args: object) -> None:
-        """Keeps the library's access log silent; messages are metered instead."""
+        """Disables the access log of the library; metrics count the messages."""
 
 
 class ControlServer(HTTPServer):
-    """Serves registered messages to authenticated peers."""
+    """Serves the registered routes to authenticated peers."""
 
     request_queue_size = 256
     allow_reuse_address = True
@@ -168,10 +170,10 @@
         """Binds the server.
 
         Args:
-            endpoint: Where to listen; port 0 takes a free one.
+            endpoint: Endpoint to listen at; port 0 selects a free port.
             routes: Handlers by path.
-            key_ring: Keys that peers must hold.
-            executor: Runs one task for each connection.
+            key_ring: Keys that verify messages and sign replies.
+            executor: Runs one task per connection.
         """
         self._routes = routes
         self._key_ring = key_ring
@@ -182,7 +184,7 @@
     def process_request(
         self, request: socket.socket | tuple[bytes, socket.socket], client_address: Any
     ) -> None:
-        """Hands a connection to a task of its own."""
+        """Serves a connection in a task of its own."""
         assert isinstance(request, socket.socket)
         self._connections.add(request)
         self._executor.submit(self._serve_connection, request, client_address)
@@ -191,60 +193,62 @@
         try:
             self.finish_request(connection, address)
         except OSError:
-            pass  # The peer went away; it will ask again on a new connection.
+            pass  # The peer disconnected; it reconnects for the next message.
         finally:
             self._connections.discard(connection)
             self.shutdown_request(connection)
 
     def close_connections(self) -> None:
-        """Ends the connections that peers keep open."""
+        """Closes the connections that peers keep open."""
         for connection in tuple(self._connections):
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
                 continue
 
-    def answer(
+    def handle_message(
         self, path: str, body: bytes, signature: str, *, encoding: str = ""
-    ) -> ControlAnswer:
-        """Answers one message; whatever arrives, nothing is raised.
+    ) -> ControlResponse:
+        """Handles one message; never raises, whatever arrives.
 
         Args:
-            path: Path of the URL.
-            body: Body as it arrived.
-            signature: Header with time and authenticator.
+            path: URL path.
+            body: Body as received.
+            signature: Value of the authenticator header.
             encoding: Content encoding of the body.
 
         Returns:
-            What goes back.
+            The response.
         """
-        if not verifies_message(self._key_ring, path, body, signature):
-            return _refusal(ErrorKind.UNAUTHENTICATED, "authenticator")
+        if not verify_message(self._key_ring, path, body, signature):
+            return _error_response(ErrorKind.UNAUTHENTICATED, "authenticator")
         route = self._routes.find(path)
         if route is None:
-            return _refusal(ErrorKind.NOT_FOUND, "path")
+            return _error_response(ErrorKind.NOT_FOUND, "path")
         try:
-            message: object = decode_message(unpack(body, encoding), route.message_type)
+            message: object = decode_message(
+                decompress_body(body, encoding), route.message_type
+            )
         except BadMessageError as error:
-            return _refusal(ErrorKind.BAD_MESSAGE, str(error))
+            return _error_response(ErrorKind.BAD_MESSAGE, str(error))
         try:
             reply = route.handler(message)
         except SiskinshiftError as error:
-            return _refusal(error.kind, str(error))
+            return _error_response(error.kind, str(error))
         except Exception as error:
-            # Failure: a fault in one handler would end the connection's task and
-            # look like a dead peer. The sender gets a typed answer instead.
-            return _refusal(ErrorKind.INTERNAL, type(error).__name__)
-        return ControlAnswer(HTTPStatus.OK, *pack(encode_message(reply)))
+            # An error in a handler must not end the task of the connection, since the
+            # sender would take this process for unreachable. It gets a typed error.
+            return _error_response(ErrorKind.INTERNAL, type(error).__name__)
+        return ControlResponse(HTTPStatus.OK, *compress_body(encode_message(reply)))
 
     def sign_reply(self, signature: str, body: bytes) -> str:
-        """Signs an answer together with the signature of its message.
+        """Signs a response together with the signature of its message.
 
         Args:
             signature: Signature of the message.
-            body: Body as it is sent.
+            body: Body as sent.
 
         Returns:
-            The header's text.
+            Value of the authenticator header.
         """
         return sign_reply(self._key_ring, signature, body)
--- a/src/siskinshift/control/signatures.py
+++ b/src/siskinshift/control/signatures.py
@@ -1,9 +1,9 @@
-"""Signs messages between processes and checks them, replies included.
+"""Signs and verifies messages between processes and their replies.
 
-A signature is the time in unix milliseconds and the authenticator of path, time
-and body. A message older than REPLAY_WINDOW_MILLISECONDS is refused: whoever
-recorded a heartbeat can't keep a dead member alive for longer. A reply is signed
-together with the signature it answers, so it fits no other message.
+A signature consists of the time in unix milliseconds and the authenticator of path,
+time and body. Messages older than REPLAY_WINDOW_MILLISECONDS are refused, so that
+replayed heartbeats can't keep a dead member alive for longer. The signature of a reply
+covers the signature of its message, so that it is valid for no other message.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
     from siskinshift.core.keyring import KeyRing
 
 
-# Clocks of instances may differ by this much.
+# Allows for the clock skew between instances.
 REPLAY_WINDOW_MILLISECONDS = 60_000
 _SEPARATOR = "."
 
 
 def sign_message(key_ring: KeyRing, path: str, body: bytes) -> str:
-    """Signs a message with the time of now.
+    """Signs a message with the current time.
 
     Args:
         key_ring: Keys of the deployment.
-        path: Path of the URL.
-        body: Body as it is sent.
+        path: URL path.
+        body: Body as sent.
 
     Returns:
-        The signature for the header.
+        Value of the authenticator header.
     """
     time_text = str(clocks.unix_milliseconds())
-    authenticator = key_ring.sign(_message_text(path, time_text, body)).hex()
+    authenticator = key_ring.sign(_message_data(path, time_text, body)).hex()
     return f"{time_text}{_SEPARATOR}{authenticator}"
 
 
-def verifies_message(key_ring: KeyRing, path: str, body: bytes, signature: str) -> bool:
-    """Checks a message's signature and its age.
+def verify_message(key_ring: KeyRing, path: str, body: bytes, signature: str) -> bool:
+    """Verifies the signature and the age of a message.
 
     Args:
         key_ring: Keys of the deployment.
-        path: Path of the URL.
-        body: Body as it arrived.
-        signature: The header.
+        path: URL path.
+        body: Body as received.
+        signature: Value of the authenticator header.
 
     Returns:
-        Whether a process that holds a key sent it a short while ago.
+        Whether it was signed with an accepted key within the replay window.
     """
     time_text, _, authenticator_text = signature.partition(_SEPARATOR)
     try:
@@ -58,7 +58,7 @@
         return False
     if abs(age) > REPLAY_WINDOW_MILLISECONDS:
         return False
-    return key_ring.verify(_message_text(path, time_text, body), authenticator)
+    return key_ring.verify(_message_data(path, time_text, body), authenticator)
 
 
 def sign_reply(key_ring: KeyRing, message_signature: str, body: bytes) -> str:
@@ -66,39 +66,39 @@
 
     Args:
         key_ring: Keys of the deployment.
-        message_signature: Signature of the message it answers.
-        body: Body as it is sent.
+        message_signature: Signature of the message it replies to.
+        body: Body as sent.
 
     Returns:
-        The signature for the header.
+        Value of the authenticator header.
     """
-    return key_ring.sign(_reply_text(message_signature, body)).hex()
+    return key_ring.sign(_reply_data(message_signature, body)).hex()
 
 
-def verifies_reply(
+def verify_reply(
     key_ring: KeyRing, message_signature: str, body: bytes, signature: str
 ) -> bool:
-    """Checks a reply's signature.
+    """Verifies the signature of a reply.
 
     Args:
         key_ring: Keys of the deployment.
-        message_signature: Signature of the message it should answer.
-        body: Body as it arrived.
-        signature: The header.
+        message_signature: Signature of the message that was sent.
+        body: Body as received.
+        signature: Value of the authenticator header.
 
     Returns:
-        Whether a process that holds a key answered this very message.
+        Whether it was signed with an accepted key as a reply to this message.
     """
     try:
         authenticator = bytes.fromhex(signature)
     except ValueError:
         return False
-    return key_ring.verify(_reply_text(message_signature, body), authenticator)
+    return key_ring.verify(_reply_data(message_signature, body), authenticator)
 
 
-def _message_text(path: str, time_text: str, body: bytes) -> bytes:
+def _message_data(path: str, time_text: str, body: bytes) -> bytes:
     return b"\n".join((path.encode(), time_text.encode(), body))
 
 
-def _reply_text(message_signature: str, body: bytes) -> bytes:
+def _reply_data(message_signature: str, body: bytes) -> bytes:
     return b"\n".join((message_signature.encode(), body))
