--- a/src/siskinshift/wire/__init__.py
+++ b/src/siskinshift/wire/__init__.py
@@ -1,3 +1,3 @@
-"""Datagrams behind a PROXY protocol v2 header."""
+"""Encoding of datagrams with a PROXY protocol v2 header."""
 
 from __future__ import annotations
--- a/src/siskinshift/wire/codec.py
+++ b/src/siskinshift/wire/codec.py
@@ -1,4 +1,4 @@
-"""Datagrams behind a PROXY protocol v2 header.
+"""Encodes and decodes datagrams with a PROXY protocol v2 header.
 
 Source: the PROXY protocol specification, version 2, DGRAM over INET and INET6.
 """
@@ -14,18 +14,18 @@
 from siskinshift.wire.exceptions import BadAuthenticatorError
 from siskinshift.wire.exceptions import BadHeaderError
 from siskinshift.wire.exceptions import TruncatedHeaderError
-from siskinshift.wire.header import FIXED_SIZE
-from siskinshift.wire.header import TLV_HEAD
+from siskinshift.wire.header import FIXED_HEADER_SIZE
+from siskinshift.wire.header import TLV_HEADER
+from siskinshift.wire.header import append_tlvs
 from siskinshift.wire.header import header_size
 from siskinshift.wire.header import pack_addresses
-from siskinshift.wire.header import split_header
-from siskinshift.wire.header import with_tlvs
+from siskinshift.wire.header import parse_header
 from siskinshift.wire.reference import parse_addresses
 
 
 if TYPE_CHECKING:
     from siskinshift.core.keyring import KeyRing
-    from siskinshift.wire.header import SplitHeader
+    from siskinshift.wire.header import ParsedHeader
 
 
 ENVELOPE_TLV = 0xE0
@@ -33,17 +33,17 @@
 FLAG_MAY_CREATE = 0x01
 FLAG_DISCLAIMED = 0x02
 
-_ENVELOPE = struct.Struct("!BBQ")
-_SIGNED_HEAD = struct.Struct("!H")
-_AUTHENTICATOR_HEAD = TLV_HEAD.pack(AUTHENTICATOR_TLV, DIGEST_SIZE)
-_AUTHENTICATOR_SIZE = len(_AUTHENTICATOR_HEAD) + DIGEST_SIZE
+_ENVELOPE_FIELDS = struct.Struct("!BBQ")
+_LENGTH_PREFIX = struct.Struct("!H")
+_AUTHENTICATOR_TLV_HEADER = TLV_HEADER.pack(AUTHENTICATOR_TLV, DIGEST_SIZE)
+_AUTHENTICATOR_TLV_SIZE = len(_AUTHENTICATOR_TLV_HEADER) + DIGEST_SIZE
 
 
 class PacketCodec:
-    """Packs and unpacks datagrams between the fabric and the system."""
+    """Encodes and decodes datagrams exchanged with the fabric."""
 
     def pack(self, packet: Packet) -> bytes:
-        """Packs a packet without an envelope, as the fabric speaks it.
+        """Encodes a packet without an envelope, in the format of the fabric.
 
         Args:
             packet: The packet.
@@ -54,7 +54,7 @@
         return pack_addresses(packet.caller, packet.service_address) + packet.payload
 
     def unpack(self, datagram: bytes) -> Packet:
-        """Unpacks a datagram of the fabric.
+        """Decodes a datagram of the fabric.
 
         Args:
             datagram: Header and payload.
@@ -63,26 +63,26 @@
             The packet.
 
         Raises:
-            TruncatedHeaderError: It ends inside the header.
-            BadHeaderError: The header is of another kind.
+            TruncatedHeaderError: The datagram ends inside the header.
+            BadHeaderError: The header has another format.
         """
         end = _header_end(datagram)
-        header = split_header(datagram, end)
+        header = parse_header(datagram, end)
         if header is not None and not header.tlv_bytes:
             return Packet(header.caller, header.service_address, datagram[end:])
-        # A fabric may add TLVs of its own: the library reads over them.
+        # A fabric may add its own TLVs; the library ignores them.
         caller, service_address = parse_addresses(datagram[:end])
         return Packet(caller, service_address, datagram[end:])
 
 
 class EnvelopeCodec(PacketCodec):
-    """Packs and unpacks authenticated datagrams inside the system."""
+    """Encodes and decodes authenticated datagrams between processes."""
 
     def __init__(self, key_ring: KeyRing) -> None:
         self._key_ring = key_ring
 
     def pack_envelope(self, envelope: Envelope) -> bytes:
-        """Packs an envelope with its authenticator.
+        """Encodes an envelope with its authenticator.
 
         Args:
             envelope: The envelope.
@@ -93,22 +93,22 @@
         packet = envelope.packet
         flags = FLAG_MAY_CREATE if envelope.may_create else 0
         flags |= FLAG_DISCLAIMED if envelope.disclaimed else 0
-        fields = _ENVELOPE.pack(envelope.hop_count, flags, envelope.view_version)
+        fields = _ENVELOPE_FIELDS.pack(envelope.hop_count, flags, envelope.view_version)
         fields += envelope.querier_id.encode()
         addresses = pack_addresses(packet.caller, packet.service_address)
-        signed = _signed_bytes(addresses[FIXED_SIZE:], fields, packet.payload)
+        signed = _signed_bytes(addresses[FIXED_HEADER_SIZE:], fields, packet.payload)
         tlvs = b"".join(
             (
-                TLV_HEAD.pack(ENVELOPE_TLV, len(fields)),
+                TLV_HEADER.pack(ENVELOPE_TLV, len(fields)),
                 fields,
-                _AUTHENTICATOR_HEAD,
+                _AUTHENTICATOR_TLV_HEADER,
                 self._key_ring.sign(signed),
             )
         )
-        return with_tlvs(addresses, tlvs) + packet.payload
+        return append_tlvs(addresses, tlvs) + packet.payload
 
     def unpack_envelope(self, datagram: bytes) -> Envelope:
-        """Unpacks an envelope and checks its authenticator.
+        """Decodes an envelope and verifies its authenticator.
 
         Args:
             datagram: Header and payload.
@@ -117,34 +117,34 @@
             The envelope.
 
         Raises:
-            TruncatedHeaderError: It ends inside the header.
-            BadHeaderError: The header is of another kind.
-            BadAuthenticatorError: No holder of a key made it.
+            TruncatedHeaderError: The datagram ends inside the header.
+            BadHeaderError: The header has another format.
+            BadAuthenticatorError: It was not computed with an accepted key.
         """
         end = _header_end(datagram)
-        header = split_header(datagram, end)
+        header = parse_header(datagram, end)
         if header is None:
             raise BadHeaderError
-        fields, authenticator = _split_tlvs(header)
+        fields, authenticator = _parse_tlvs(header)
         payload = datagram[end:]
         signed = _signed_bytes(header.address_block, fields, payload)
         if not self._key_ring.verify(signed, authenticator):
             raise BadAuthenticatorError
-        if len(fields) < _ENVELOPE.size:
+        if len(fields) < _ENVELOPE_FIELDS.size:
             raise BadHeaderError
-        hop_count, flags, view_version = _ENVELOPE.unpack_from(fields)
+        hop_count, flags, view_version = _ENVELOPE_FIELDS.unpack_from(fields)
         return Envelope(
             packet=Packet(header.caller, header.service_address, payload),
             hop_count=hop_count,
             view_version=view_version,
-            querier_id=fields[_ENVELOPE.size :].decode(errors="replace"),
+            querier_id=fields[_ENVELOPE_FIELDS.size :].decode(errors="replace"),
             may_create=bool(flags & FLAG_MAY_CREATE),
             disclaimed=bool(flags & FLAG_DISCLAIMED),
         )
 
 
 def _header_end(datagram: bytes) -> int:
-    if len(datagram) < FIXED_SIZE:
+    if len(datagram) < FIXED_HEADER_SIZE:
         raise TruncatedHeaderError
     end = header_size(datagram)
     if len(datagram) < end:
@@ -152,21 +152,24 @@
     return end
 
 
-def _split_tlvs(header: SplitHeader) -> tuple[bytes, bytes]:
-    # Only the system's own processes write envelopes: two TLVs, in this order.
+def _parse_tlvs(header: ParsedHeader) -> tuple[bytes, bytes]:
+    # Only processes of the system encode envelopes: two TLVs, in this order.
     tlvs = header.tlv_bytes
-    fields_end = len(tlvs) - _AUTHENTICATOR_SIZE
-    if fields_end < TLV_HEAD.size:
+    fields_end = len(tlvs) - _AUTHENTICATOR_TLV_SIZE
+    if fields_end < TLV_HEADER.size:
         raise BadAuthenticatorError
-    if tlvs[: TLV_HEAD.size] != TLV_HEAD.pack(ENVELOPE_TLV, fields_end - TLV_HEAD.size):
+    if tlvs[: TLV_HEADER.size] != TLV_HEADER.pack(
+        ENVELOPE_TLV, fields_end - TLV_HEADER.size
+    ):
         raise BadAuthenticatorError
-    authenticator_start = fields_end + len(_AUTHENTICATOR_HEAD)
-    if tlvs[fields_end:authenticator_start] != _AUTHENTICATOR_HEAD:
+    authenticator_start = fields_end + len(_AUTHENTICATOR_TLV_HEADER)
+    if tlvs[fields_end:authenticator_start] != _AUTHENTICATOR_TLV_HEADER:
         raise BadAuthenticatorError
-    return tlvs[TLV_HEAD.size : fields_end], tlvs[authenticator_start:]
+    return tlvs[TLV_HEADER.size : fields_end], tlvs[authenticator_start:]
 
 
 def _signed_bytes(address_block: bytes, fields: bytes, payload: bytes) -> bytes:
-    # Lengths go first: no two envelopes give the same bytes.
-    sizes = _SIGNED_HEAD.pack(len(address_block)) + _SIGNED_HEAD.pack(len(fields))
+    # The lengths precede the fields, so that different envelopes never yield the same
+    # bytes.
+    sizes = _LENGTH_PREFIX.pack(len(address_block)) + _LENGTH_PREFIX.pack(len(fields))
     return b"".join((sizes, address_block, fields, payload))
--- a/src/siskinshift/wire/exceptions.py
+++ b/src/siskinshift/wire/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of datagram headers."""
+"""Errors in datagram headers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class WireError(SiskinshiftError):
-    """A datagram that is dropped because of its header."""
+    """A datagram is dropped because of its header."""
 
 
 class TruncatedHeaderError(WireError):
@@ -17,12 +17,12 @@
 
 
 class BadHeaderError(WireError):
-    """The datagram has no PROXY protocol v2 header of the kind used here."""
+    """The datagram has no PROXY protocol v2 header in a supported format."""
 
     kind = ErrorKind.BAD_HEADER
 
 
 class BadAuthenticatorError(WireError):
-    """The authenticator is missing or was made without a key."""
+    """The authenticator is missing or was not computed with an accepted key."""
 
     kind = ErrorKind.BAD_AUTHENTICATOR
--- a/src/siskinshift/wire/reference.py
+++ b/src/siskinshift/wire/reference.py
@@ -1,4 +1,4 @@
-"""Parses headers of any layout with the library; slower than the hot path."""
+"""Parses headers of any layout with the library, slower than on the hot path."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 def parse_addresses(header: bytes) -> tuple[Endpoint, Endpoint]:
-    """Reads source and destination.
+    """Parses the source and the destination of a header.
 
-    A checksum TLV is checked only where the library's optional module for it is
-    installed, which the locked environment leaves out.
+    A checksum TLV is verified only if the library's optional module for it is
+    installed; the locked environment does not include it.
 
     Args:
-        header: A whole header.
+        header: A complete header.
 
     Returns:
         Source and destination.
 
     Raises:
-        BadHeaderError: The header is no PROXY protocol v2 header for a datagram.
+        BadHeaderError: It is not a PROXY protocol v2 header of a datagram.
     """
     try:
         result = _protocol.unpack(header)
