--- a/src/siskinshift/runtime/application.py
+++ b/src/siskinshift/runtime/application.py
@@ -1,4 +1,4 @@
-"""A process that is set up by the product's own settings file."""
+"""Base class of processes that are configured by the settings file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Application(LifeCycle):
-    """Base of such processes.
+    """Base class of processes configured by the settings file.
 
     Attributes:
         settings: All settings of the process.
--- a/src/siskinshift/runtime/counters.py
+++ b/src/siskinshift/runtime/counters.py
@@ -1,4 +1,4 @@
-"""Counters of a process, by name; cheap enough for each datagram."""
+"""Event counters of a process, cheap enough to update for each datagram."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
         self._counts_by_name: Counter[str] = Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Counts an event.
+        """Increments the counter of an event.
 
         Args:
             name: Name of the event.
-            amount: How often it happened.
+            amount: Number of events to add.
         """
         self._counts_by_name[name] += amount
 
     def snapshot(self) -> dict[str, int]:
-        """Copies all counts.
+        """Returns a copy of all counts.
 
         Returns:
             Counts by name.
--- a/src/siskinshift/runtime/datagrams.py
+++ b/src/siskinshift/runtime/datagrams.py
@@ -1,4 +1,4 @@
-"""A UDP socket whose datagrams go to a handler, one after the other."""
+"""UDP socket that passes received datagrams to a handler, one at a time."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class DatagramSocket:
-    """Receives until told to stop; sending is safe from any thread.
+    """A UDP socket with a receive loop; sending is thread-safe.
 
     Attributes:
-        failures: Datagrams whose handler raised an error.
+        failures: Number of datagrams whose handler raised an error.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
         """Binds the socket.
 
         Args:
-            endpoint: Where to bind; port 0 takes a free one.
+            endpoint: Endpoint to bind to; port 0 selects a free port.
         """
         self.failures = 0
         family = socket.AF_INET6 if ":" in endpoint.host else socket.AF_INET
@@ -45,7 +45,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where the socket is bound."""
+        """Endpoint that the socket is bound to."""
         host, port = self._socket.getsockname()[:2]
         return Endpoint(host, port)
 
@@ -54,11 +54,11 @@
         stopping: threading.Event,
         handle: Callable[[bytes, tuple[str, int]], None],
     ) -> None:
-        """Hands each datagram with its source to a handler.
+        """Passes each datagram and its source to a handler.
 
         Args:
             stopping: Ends the loop when set.
-            handle: The handler.
+            handle: Handler of datagrams.
         """
         while not stopping.is_set():
             try:
@@ -66,24 +66,24 @@
             except TimeoutError:
                 continue
             except OSError:
-                # A closed peer port on loopback shows up as an error on receive.
+                # A closed peer port on loopback causes an error on receive.
                 if self._socket.fileno() < 0:
                     return
                 continue
             try:
                 handle(datagram, source[:2])
             except Exception as error:
-                # Guards against one bad datagram that ends the loop: the process
-                # would look alive while all its flows are silent.
+                # One bad datagram must not end the loop: the process would seem alive
+                # while all of its flows are stopped.
                 self.failures += 1
                 _log.repeated("handler", "A handler failed.", error=repr(error))
 
     def send(self, datagram: bytes, endpoint: Endpoint) -> None:
-        """Sends a datagram; one that can't be sent counts as lost on the way.
+        """Sends a datagram; one that can't be sent is dropped like a lost one.
 
         Args:
-            datagram: The bytes.
-            endpoint: Where to.
+            datagram: Datagram to send.
+            endpoint: Destination.
         """
         try:
             self._socket.sendto(datagram, (endpoint.host, endpoint.port))
--- a/src/siskinshift/runtime/drops.py
+++ b/src/siskinshift/runtime/drops.py
@@ -1,4 +1,4 @@
-"""Counts and logs datagrams that a process drops."""
+"""Counts and logs dropped datagrams."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class DropRecorder:
-    """Counts each drop by its kind; logs at a bounded rate.
+    """Counts drops by error kind and logs them at a limited rate.
 
-    A forged or misrouted datagram comes seldom alone: without the bound, who sends
-    them would also fill the log and take the processor from the flows.
+    Forged or misrouted datagrams often arrive in large numbers. Without the limit,
+    their sender could fill the log and use up the processor time of the flows.
     """
 
     def __init__(self, *, part: str, counters: Counters) -> None:
-        """Prepares a recorder.
+        """Initializes the recorder.
 
         Args:
-            part: Prefix of the log's sentences.
+            part: Prefix of the log messages.
             counters: Counters of the process.
         """
         self._counters = counters
@@ -33,8 +33,8 @@
         """Records a dropped datagram.
 
         Args:
-            error: Why.
-            fields: What helps to find the sender.
+            error: Reason of the drop.
+            fields: Log fields that identify the sender.
         """
         self._counters.add(f"dropped.{error.value}")
         self._log.repeated(
--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -1,4 +1,4 @@
-"""One thread that owns decisions: datagrams, timers and calls from other threads."""
+"""Event loop for datagrams, timers and calls from other threads, on one thread."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 
 
 MAX_DATAGRAM_SIZE = 65535
-# Room for half a second of the busiest link's packets while the process starts or
-# stands still; the kernel may allow less.
+# Holds half a second of packets of the busiest link while the process starts or is
+# stalled; the kernel may allow less.
 RECEIVE_BUFFER_BYTES = 1 << 20
-# Datagrams of one socket taken before the others get their turn.
-BATCH_DATAGRAMS = 64
-# The same for a socket that is read last, just before timers look for what is overdue:
-# one packet of an unknown flow may be followed by an answer of each of 60 agents.
-LAST_BATCH_DATAGRAMS = 512
-WAIT_MAXIMUM_SECONDS = 1.0
-# Timers run this seldom while packets come: a look at all that may be due took half of
-# a packet's processor time. An eighth of the shortest time that any of them waits for.
-TIMER_PAUSE_SECONDS = 0.005
+# Datagrams read from one socket before the next socket is read.
+MAX_BATCH_DATAGRAMS = 64
+# The same for a socket that is read last, directly before the timers check deadlines:
+# one packet of an unknown flow may cause a reply from each of 60 agents.
+MAX_LAST_BATCH_DATAGRAMS = 512
+MAX_WAIT_SECONDS = 1.0
+# Timers run no more often than this while packets arrive: a check of all timers takes
+# half of a packet's processor time. It is an eighth of the shortest timer delay.
+MIN_TIMER_INTERVAL_SECONDS = 0.005
 
 ResultT = TypeVar("ResultT")
 DatagramHandler: TypeAlias = "Callable[[bytes, tuple[str, int], float], None]"
 
 
 def open_datagram_socket(host: str, port: int) -> socket.socket:
-    """Binds a UDP socket that never blocks.
+    """Binds a non-blocking UDP socket.
 
     Args:
-        host: Own IP number.
-        port: Port; 0 takes a free one.
+        host: Local IP address.
+        port: Port; 0 selects a free port.
 
     Returns:
         The socket.
@@ -57,14 +57,14 @@
 
 
 class EventLoop:
-    """Runs handlers one after the other, so that they need no locks."""
+    """Runs handlers one at a time, so that they need no locks."""
 
     def __init__(self, *, clock: Clock, log: EventLog) -> None:
-        """Prepares without any socket.
+        """Initializes the loop without sockets.
 
         Args:
             clock: Clock of the process.
-            log: Takes a line for a handler that failed.
+            log: Log of failed handlers.
         """
         self._clock = clock
         self._log = log
@@ -76,10 +76,10 @@
         self._selector.register(self._wake_receiver, selectors.EVENT_READ, None)
         self._timers: list[Callable[[float], float]] = []
         self._timers_ran_at = float("-inf")
-        self._timers_due = float("-inf")
-        self._has_handled = False
-        self._last_sockets: list[tuple[socket.socket, DatagramHandler]] = []
-        self._read_last: set[Any] = set()
+        self._timers_due_at = float("-inf")
+        self._has_handled_events = False
+        self._handlers_read_last: list[tuple[socket.socket, DatagramHandler]] = []
+        self._sockets_read_last: set[Any] = set()
 
     def add_socket(
         self,
@@ -88,46 +88,47 @@
         *,
         read_last: bool = False,
     ) -> None:
-        """Hands a socket's datagrams to a handler.
+        """Passes the datagrams of a socket to a handler.
 
         Args:
-            opened: A socket of `open_datagram_socket`; the caller closes it.
-            handle: Takes the datagram, its source and the time.
-            read_last: Whether it is read last in each turn, so that timers see all that
-                has come. Guards against an overloaded process that takes answers
-                which it has not read yet for missing and asks again.
+            opened: Socket of `open_datagram_socket`; the caller closes it.
+            handle: Called with the datagram, its source and the time.
+            read_last: Whether it is read last in each iteration, so that timers run
+                after the received datagrams are handled. Otherwise an overloaded
+                process would time out on replies that it has not read yet and repeat
+                its queries.
         """
         if read_last:
-            self._last_sockets.append((opened, handle))
-            self._read_last.add(opened)
+            self._handlers_read_last.append((opened, handle))
+            self._sockets_read_last.add(opened)
         self._selector.register(opened, selectors.EVENT_READ, handle)
 
     def add_timer(self, step: Callable[[float], float]) -> None:
-        """Calls a step soon after something was handled, or when it is due.
+        """Registers a timer, run when it is due and soon after events are handled.
 
         Args:
-            step: Takes the time, does what is due, returns when it is due next.
+            step: Called with the time; returns the time at which it is due next.
         """
         self._timers.append(step)
 
     def call(self, function: Callable[[], ResultT]) -> Future[ResultT]:
-        """Runs a function on the loop's thread; other threads call this.
+        """Schedules a function on the loop's thread; thread-safe.
 
         Args:
             function: The function.
 
         Returns:
-            Its result.
+            Future of its result.
         """
         future: Future[ResultT] = Future()
         self._calls.append((future, function))
-        # A full pipe: wake-ups wait already, so the loop will see the call.
+        # If the pipe is full, wake-ups are pending and the loop will run the call.
         with contextlib.suppress(BlockingIOError):
             self._wake_sender.send(b"\0")
         return future
 
     def run_until(self, stopping: threading.Event) -> None:
-        """Runs until told to stop; `call` after setting the event ends a wait.
+        """Runs until the event is set; a later `call` interrupts the wait.
 
         Args:
             stopping: Ends the loop when set.
@@ -136,46 +137,50 @@
             self.run_once()
 
     def run_once(self) -> None:
-        """Runs due timers, waits for the next event and handles what has come."""
-        wait = min(max(self._run_timers() - self._clock(), 0.0), WAIT_MAXIMUM_SECONDS)
+        """Runs due timers, waits for the next event and handles pending events."""
+        wait = min(max(self._run_timers() - self._clock(), 0.0), MAX_WAIT_SECONDS)
         ready = [key for key, _ in self._selector.select(wait)]
-        self._has_handled = self._has_handled or bool(ready)
+        self._has_handled_events = self._has_handled_events or bool(ready)
         for key in ready:
             if key.data is None:
                 self._run_calls()
-            elif key.fileobj not in self._read_last:
-                self._receive(key.fileobj, key.data, BATCH_DATAGRAMS)
+            elif key.fileobj not in self._sockets_read_last:
+                self._receive(key.fileobj, key.data, MAX_BATCH_DATAGRAMS)
         if ready:
-            for opened, handle in self._last_sockets:
-                self._receive(opened, handle, LAST_BATCH_DATAGRAMS)
+            for opened, handle in self._handlers_read_last:
+                self._receive(opened, handle, MAX_LAST_BATCH_DATAGRAMS)
 
     def close(self) -> None:
-        """Closes what the loop opened."""
+        """Closes the resources of the loop."""
         self._selector.close()
         self._wake_receiver.close()
         self._wake_sender.close()
 
     def _run_timers(self) -> float:
-        """Runs the timers unless they ran just now; returns when to look again."""
+        """Runs the timers unless they ran just now; returns when to run them again."""
         now = self._clock()
-        rested_at = self._timers_ran_at + TIMER_PAUSE_SECONDS
-        # What was handled since may have made something due earlier.
-        due = rested_at if self._has_handled else max(self._timers_due, rested_at)
-        if now < due:
-            return due
-        self._has_handled = False
+        earliest_at = self._timers_ran_at + MIN_TIMER_INTERVAL_SECONDS
+        # Events handled since the last run may have made a timer due earlier.
+        due_at = (
+            earliest_at
+            if self._has_handled_events
+            else max(self._timers_due_at, earliest_at)
+        )
+        if now < due_at:
+            return due_at
+        self._has_handled_events = False
         self._timers_ran_at = now
-        steps = [self._run_timer(step, now) for step in self._timers]
-        self._timers_due = min(steps, default=now + WAIT_MAXIMUM_SECONDS)
-        return max(self._timers_due, now + TIMER_PAUSE_SECONDS)
+        due_times = [self._run_timer(step, now) for step in self._timers]
+        self._timers_due_at = min(due_times, default=now + MAX_WAIT_SECONDS)
+        return max(self._timers_due_at, now + MIN_TIMER_INTERVAL_SECONDS)
 
     def _run_timer(self, step: Callable[[float], float], now: float) -> float:
         try:
             return step(now)
         except Exception as error:
-            # Guards against one failed step that ends the process's data path.
+            # One failed timer must not end the data path of the process.
             self._log.fact("timer failed", error=repr(error))
-            return now + WAIT_MAXIMUM_SECONDS
+            return now + MAX_WAIT_SECONDS
 
     def _run_calls(self) -> None:
         with contextlib.suppress(BlockingIOError):
@@ -198,11 +203,11 @@
             try:
                 datagram, source = opened.recvfrom(MAX_DATAGRAM_SIZE)
             except OSError:
-                # Nothing left, or the error of an earlier datagram that met no
-                # listener; the socket is good either way.
+                # No datagram is left, or an earlier datagram was sent to a closed port;
+                # the socket remains usable in both cases.
                 return
             try:
                 handle(datagram, source, self._clock())
             except Exception as error:
-                # Guards against one datagram that ends the process's data path.
+                # One bad datagram must not end the data path of the process.
                 self._log.fact("handler failed", error=repr(error))
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client: one kept connection, a time-out of our own for each call."""
+"""A small HTTP/1.1 client with one persistent connection and per-request timeouts."""
 
 from __future__ import annotations
 
@@ -16,61 +16,62 @@
 
 
 READ_BYTES = 262144
-ANSWER_MAXIMUM_BYTES = 64 << 20
-# A part of an answer that comes now and then must not hold a task for good: after this
-# time, seconds, an answer is given up that came more slowly than the rate, bytes a
-# second. The rate is a fortieth of the thinnest link, 5 Mbit/s: what still comes faster
-# is not asked for again, since that would begin at its start.
-FLOWING_SECONDS_MAXIMUM = 10.0
-FLOWING_RATE_MINIMUM = 16_000.0
-# Silence within an answer: a lost segment is sent again within this. A call that waits
-# for a change may be silent for far longer before its answer begins.
-PART_SECONDS_MAXIMUM = 1.0
-# A connection may go silent for good without a reset. Probes begin after a second of
-# silence, and two without an answer end it: a call that waits fails within three.
-PROBE_AFTER_SECONDS = 1
-PROBE_INTERVAL_SECONDS = 1
-PROBES = 2
-UNACKNOWLEDGED_MILLISECONDS = 3000
-# After each failure in a row twice the time is allowed, so often at most: four times
-# 0.3 s is more than a full link holds packets up, and more than the second after which
-# a lost opening packet is sent again.
-DOUBLINGS_MAXIMUM = 2
+MAX_RESPONSE_BYTES = 64 << 20
+# A response that trickles must not occupy a task forever: after this time, seconds, a
+# response slower than the rate, bytes per second, is aborted. The rate is a fortieth of
+# the slowest link, 5 Mbit/s. A faster response is not aborted, since a repeated request
+# would start from the beginning.
+MAX_SLOW_SECONDS = 10.0
+MIN_BYTES_PER_SECOND = 16_000.0
+# Timeout between two parts of a response; TCP retransmits a lost segment within this
+# time. A request that waits for a change may take far longer until its response begins.
+MAX_PART_INTERVAL_SECONDS = 1.0
+# A connection may become unresponsive without a reset. Keepalive probes start after one
+# idle second, and two unanswered probes close the connection, so that a waiting request
+# fails within three seconds.
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
+TCP_USER_TIMEOUT_MILLISECONDS = 3000
+# The timeout doubles after each consecutive failure, at most this many times. Four
+# times 0.3 s is longer than the queueing delay of a full link and than the second after
+# which TCP retransmits a lost SYN.
+MAX_TIMEOUT_DOUBLINGS = 2
 
 
 class RequestNotSentError(OSError):
-    """The connection could not be made, so the call took no effect."""
+    """The connection failed, so the request had no effect."""
 
 
 class ResponseLostError(OSError):
-    """The call was sent and no whole answer came: it may have taken effect."""
+    """No complete response arrived; the request may have taken effect."""
 
 
 def extend_timeout(seconds: float, *, failures: int) -> float:
-    """Lengthens a time that was too short.
+    """Extends a timeout after consecutive failures.
 
-    Guards against a time that a link can't keep: a try that is given up too early, and
-    made again with the same time, fails for as long as the link is full.
+    Attempts that are repeated with the same timeout fail for as long as a full link
+    delays packets for longer than that.
 
     Args:
-        seconds: Time on a calm day.
-        failures: Failures in a row so far.
+        seconds: Timeout of the first attempt.
+        failures: Consecutive failures so far.
 
     Returns:
-        Time for the next try, seconds.
+        Timeout of the next attempt, seconds.
     """
-    return seconds * 2.0 ** min(failures, DOUBLINGS_MAXIMUM)
+    return seconds * 2.0 ** min(failures, MAX_TIMEOUT_DOUBLINGS)
 
 
 @frozen
 class TransferProgress:
-    """How far the newest answer of a client has come; other threads may read it.
+    """Progress of the latest response of a client; other threads may read it.
 
     Attributes:
         first_received_at: When the first part arrived, monotonic clock, seconds; 0
             before that.
-        last_received_at: When its newest part came.
-        is_complete: Whether it came to its end or was given up.
+        last_received_at: When the latest part arrived.
+        is_complete: Whether the response is complete or was aborted.
     """
 
     first_received_at: float = 0.0
@@ -79,13 +80,13 @@
 
     @property
     def seconds(self) -> float:
-        """Time from the first part to the newest one."""
+        """Time from the first to the latest part."""
         return self.last_received_at - self.first_received_at
 
 
 @define
-class _AnswerReader:
-    """Collects one answer; the parser calls its hooks."""
+class _ResponseCollector:
+    """Collects one response from the callbacks of the parser."""
 
     parts: list[bytes] = Factory(list)
     size: int = 0
@@ -93,8 +94,8 @@
 
     def on_body(self, body: bytes) -> None:
         self.size += len(body)
-        if self.size > ANSWER_MAXIMUM_BYTES:
-            raise ValueError("answer too large")
+        if self.size > MAX_RESPONSE_BYTES:
+            raise ValueError("response too large")
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
@@ -102,77 +103,77 @@
 
 
 class HttpClient:
-    """Calls one endpoint; not for use by several threads at once.
+    """Sends requests to one endpoint; not thread-safe.
 
-    A kept connection may go silent for good while new ones work. So each failure
-    closes it, and the next call makes a new one.
+    An idle connection may become unresponsive while new ones work. Therefore each
+    failure closes the connection, and the next request opens a new one.
 
     Attributes:
         address: Host and port of the endpoint.
-        transfer: How far the newest answer has come.
+        transfer: Progress of the latest response.
     """
 
     def __init__(self, host: str, port: int, *, connect_timeout: float) -> None:
-        """Prepares; connects with the first call.
+        """Initializes the client; the first request connects.
 
         Args:
-            host: IP number of the endpoint.
-            port: Its port.
-            connect_timeout: Time allowed for a connection, seconds; more after each
-                that could not be made.
+            host: IP address of the endpoint.
+            port: Port of the endpoint.
+            connect_timeout: Timeout of a connection attempt, seconds; extended after
+                each failed attempt.
         """
         self.address = (host, port)
         self._connect_timeout = connect_timeout
         self._failures = 0
         self._socket: socket.socket | None = None
-        self._is_calling = False
+        self._is_requesting = False
         self._is_closed = False
         self.transfer = TransferProgress()
 
     def request(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
     ) -> HttpResponse:
-        """Makes a call.
+        """Sends a request and waits for the response.
 
         Args:
             method: HTTP method.
             target: Path with query.
-            body: Body, JSON.
-            timeout: Silence allowed until the answer and within it, seconds. A long
-                answer on a slow link is not lost while it flows: at 5 Mbit/s the
-                configuration of 1,700 routes takes 0.65 s, and with a time for the
-                whole each try was given up just before its end.
+            body: Request body, JSON.
+            timeout: Longest time without received data, seconds. It does not limit the
+                whole response: at 5 Mbit/s the configuration of 1,700 routes takes
+                0.65 s, and with such a limit each attempt would be aborted just before
+                its end.
 
         Returns:
-            The answer, whatever its status.
+            The response, whatever its status.
 
         Raises:
-            RequestNotSentError: No connection, or the client is closed.
-            ResponseLostError: The answer or a part of it did not come in time.
+            RequestNotSentError: The connection failed or the client is closed.
+            ResponseLostError: The response or a part of it did not arrive in time.
         """
-        self._is_calling = True
+        self._is_requesting = True
         try:
             return self._exchange(method, target, body, timeout)
         finally:
-            self._is_calling = False
+            self._is_requesting = False
             self.transfer = attrs.evolve(self.transfer, is_complete=True)
             if self._is_closed:
                 self._disconnect()
 
     def close(self) -> None:
-        """Ends the client for good, also a call that waits in another thread.
+        """Closes the client for good and aborts a request of another thread.
 
-        Guards against a process that outlasts its notice: it ends when its last thread
-        has, and one that waited for a store that does not answer, or read a long
-        configuration, went on for seconds.
+        A process ends with its last thread. Without this, a thread that waits for an
+        unresponsive store or reads a long configuration would delay the end by seconds,
+        beyond the shutdown grace period.
         """
         self._is_closed = True
         connection = self._socket
         if connection is not None:
-            # Not connected any more, or not yet: then closing it ends the wait.
+            # Fails if it is not connected; closing it then ends the wait.
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
-        if not self._is_calling:
+        if not self._is_requesting:
             self._disconnect()
 
     def _disconnect(self) -> None:
@@ -193,7 +194,7 @@
         try:
             connection.settimeout(timeout)
             connection.sendall(head.encode() + body)
-            return self._read(connection, timeout)
+            return self._read_response(connection, timeout)
         except (OSError, ValueError, httptools.HttpParserError) as error:
             self._disconnect()
             raise ResponseLostError(str(error)) from error
@@ -203,7 +204,7 @@
             allowed = min(timeout, self._connect_timeout)
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             connection.settimeout(extend_timeout(allowed, failures=self._failures))
-            # Kept before it connects, so that `close` ends that wait as well.
+            # Set before it connects, so that `close` interrupts the connection attempt.
             self._socket = connection
             try:
                 if self._is_closed:
@@ -214,40 +215,42 @@
                 self._disconnect()
                 raise RequestNotSentError(str(error)) from error
             self._failures = 0
-            _notice_silence(connection)
+            _enable_keepalive(connection)
             return connection
         return self._socket
 
-    def _read(self, connection: socket.socket, timeout: float) -> HttpResponse:
-        reader = _AnswerReader()
-        parser = httptools.HttpResponseParser(reader)
-        give_up_at = time.monotonic() + timeout + FLOWING_SECONDS_MAXIMUM
-        while not reader.is_complete:
-            earned = reader.size / FLOWING_RATE_MINIMUM
-            if time.monotonic() > give_up_at + earned:
-                raise TimeoutError("answer too slow")
+    def _read_response(self, connection: socket.socket, timeout: float) -> HttpResponse:
+        collector = _ResponseCollector()
+        parser = httptools.HttpResponseParser(collector)
+        abort_at = time.monotonic() + timeout + MAX_SLOW_SECONDS
+        while not collector.is_complete:
+            extension = collector.size / MIN_BYTES_PER_SECOND
+            if time.monotonic() > abort_at + extension:
+                raise TimeoutError("response too slow")
             data = connection.recv(READ_BYTES)
             if not data:
-                raise ConnectionResetError("closed before the answer's end")
+                raise ConnectionResetError(
+                    "connection closed before the end of the response"
+                )
             now = time.monotonic()
             first_received_at = (
                 now if self.transfer.is_complete else self.transfer.first_received_at
             )
             self.transfer = TransferProgress(first_received_at, now, is_complete=False)
             parser.feed_data(data)
-            connection.settimeout(min(timeout, PART_SECONDS_MAXIMUM))
+            connection.settimeout(min(timeout, MAX_PART_INTERVAL_SECONDS))
         if not parser.should_keep_alive():
             self._disconnect()
-        return HttpResponse(parser.get_status_code(), b"".join(reader.parts))
+        return HttpResponse(parser.get_status_code(), b"".join(collector.parts))
 
 
-def _notice_silence(connection: socket.socket) -> None:
+def _enable_keepalive(connection: socket.socket) -> None:
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_NODELAY, 1),
-        (socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS),
-        (socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS),
-        (socket.TCP_KEEPCNT, PROBES),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+        (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+        (socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS),
     ):
         connection.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/siskinshift/runtime/http_server.py
+++ b/src/siskinshift/runtime/http_server.py
@@ -1,8 +1,8 @@
 """A small HTTP/1.1 server for health, heartbeats and messages between processes.
 
-One task for each connection. It holds few connections and small bodies. The standard
-library's server loads far more modules, and a restarted node serves nobody until it is
-up.
+Runs one task per connection and is meant for few connections and small bodies. The
+server of the standard library imports far more modules, which would delay the start of
+a node.
 """
 
 from __future__ import annotations
@@ -25,25 +25,30 @@
     from siskinshift.runtime.life_cycle import LifeCycle
 
 
-# A peer that keeps a connection asks again within seconds; a silent one is closed so
-# that it can't hold a thread for good.
-IDLE_SECONDS = 30.0
-BODY_MAXIMUM_BYTES = 1 << 20
+# A peer that keeps its connection sends the next request within seconds. Idle
+# connections are closed, because each one occupies a thread.
+IDLE_TIMEOUT_SECONDS = 30.0
+MAX_BODY_BYTES = 1 << 20
 READ_BYTES = 65536
 BACKLOG = 64
 ACCEPT_POLL_SECONDS = 0.5
-_REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 503: "Unavailable"}
+_REASONS_BY_STATUS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    503: "Unavailable",
+}
 
 
 @frozen
 class HttpRequest:
-    """A request.
+    """A received HTTP request.
 
     Attributes:
-        method: Its method.
-        path: Its path, without a query.
-        body: Its body.
-        query: What follows the path's question mark.
+        method: HTTP method.
+        path: Path without the query.
+        body: Request body.
+        query: Query string without the question mark.
     """
 
     method: str
@@ -54,12 +59,12 @@
 
 @frozen
 class ServerResponse:
-    """An answer.
+    """A response to send.
 
     Attributes:
-        status: HTTP status.
-        body: Its body.
-        content_type: What the body is.
+        status: HTTP status code.
+        body: Response body.
+        content_type: Content type of the body.
     """
 
     status: int
@@ -71,8 +76,8 @@
 
 
 @define
-class _RequestReader:
-    """Collects one request; the parser calls its hooks."""
+class _RequestCollector:
+    """Collects one request from the callbacks of the parser."""
 
     method: str = ""
     path: str = ""
@@ -86,7 +91,7 @@
 
     def on_body(self, body: bytes) -> None:
         self.size += len(body)
-        if self.size > BODY_MAXIMUM_BYTES:
+        if self.size > MAX_BODY_BYTES:
             raise ValueError("body too large")
         self.parts.append(body)
 
@@ -106,15 +111,15 @@
         *,
         log: EventLog,
     ) -> None:
-        """Binds the endpoint.
+        """Binds the server.
 
         Args:
-            application: Runs the tasks.
-            host: Own IP number.
-            port: Port; 0 takes a free one.
-            handler: Answers requests; called from several threads. An OSError of it
-                closes the connection without an answer.
-            log: Takes a line for a handler that failed.
+            application: Runs the tasks of the server.
+            host: Local IP address.
+            port: Port; 0 selects a free port.
+            handler: Handles requests; called from several threads. If it raises an
+                OSError, the connection is closed without a response.
+            log: Log of failed handlers.
         """
         self._application = application
         self._handler = handler
@@ -129,19 +134,19 @@
 
     @property
     def port(self) -> int:
-        """Port the server listens at."""
+        """Port that the server listens at."""
         port: int = self._listener.getsockname()[1]
         return port
 
     def start(self) -> None:
-        """Starts to accept."""
+        """Starts to accept connections."""
         self._application.spawn(self._accept)
 
     def close(self) -> None:
         """Closes the listener and all connections."""
         with self._lock:
             connections = tuple(self._connections)
-        # Shut down before it is closed: that ends a wait in another thread at once.
+        # A shutdown before closing interrupts waits in other threads at once.
         for opened in (self._listener, *connections):
             with contextlib.suppress(OSError):
                 opened.shutdown(socket.SHUT_RDWR)
@@ -159,47 +164,50 @@
                 continue
             with self._lock:
                 self._connections.add(connection)
-            self._application.spawn(self._serve, connection)
+            self._application.spawn(self._serve_connection, connection)
 
-    def _serve(self, connection: socket.socket) -> None:
+    def _serve_connection(self, connection: socket.socket) -> None:
         try:
-            connection.settimeout(IDLE_SECONDS)
+            connection.settimeout(IDLE_TIMEOUT_SECONDS)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            while self._serve_one(connection):
+            while self._serve_request(connection):
                 pass
         except (OSError, ValueError, httptools.HttpParserError):
-            # Silence, a reset or nonsense: the peer opens a new connection.
+            # Timeout, reset or malformed data: the peer opens a new connection.
             pass
         finally:
             with self._lock:
                 self._connections.discard(connection)
             connection.close()
 
-    def _serve_one(self, connection: socket.socket) -> bool:
-        reader = _RequestReader()
-        parser = httptools.HttpRequestParser(reader)
-        while not reader.is_complete:
+    def _serve_request(self, connection: socket.socket) -> bool:
+        collector = _RequestCollector()
+        parser = httptools.HttpRequestParser(collector)
+        while not collector.is_complete:
             data = connection.recv(READ_BYTES)
             if not data:
                 return False
             parser.feed_data(data)
         method = parser.get_method().decode("latin-1")
-        body = b"".join(reader.parts)
-        reply = self._answer(HttpRequest(method, reader.path, body, reader.query))
+        body = b"".join(collector.parts)
+        response = self._handle(
+            HttpRequest(method, collector.path, body, collector.query)
+        )
         head = (
-            f"HTTP/1.1 {reply.status} {_REASONS.get(reply.status, 'Status')}\r\n"
-            f"Content-Type: {reply.content_type}\r\n"
-            f"Content-Length: {len(reply.body)}\r\n\r\n"
+            f"HTTP/1.1 {response.status} "
+            f"{_REASONS_BY_STATUS.get(response.status, 'Status')}\r\n"
+            f"Content-Type: {response.content_type}\r\n"
+            f"Content-Length: {len(response.body)}\r\n\r\n"
         )
-        connection.sendall(head.encode() + reply.body)
+        connection.sendall(head.encode() + response.body)
         return bool(parser.should_keep_alive())
 
-    def _answer(self, request: HttpRequest) -> ServerResponse:
+    def _handle(self, request: HttpRequest) -> ServerResponse:
         try:
             return self._handler(request)
         except OSError:
             raise
         except Exception as error:
-            # Guards against one bad request that ends the connection of a good peer.
+            # One bad request must not close the connection of a working peer.
             self._log.fact("request failed", path=request.path, error=repr(error))
             return ServerResponse(400)
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of a process: who owns its threads and clean-up."""
+"""Life cycle of a process: owns its threads and cleanup callbacks."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
     from collections.abc import Callable
 
 
-THREADS_MAXIMUM = 4096
+MAX_THREADS = 4096
 
 
 class LifeCycle:
-    """Base of the processes; hooks run in the order start, stopping, stop.
+    """Base class of processes; hooks run in the order start, stopping, stop.
 
     Attributes:
-        stopping: Set once the application is to end.
-        is_aborted: Whether it ends without a word, as a process does that dies.
+        stopping: Set when the application must stop.
+        is_aborted: Whether it stops without notifying peers, as in a crash.
     """
 
     def __init__(self, *, name: str) -> None:
-        """Prepares without any task.
+        """Initializes the life cycle without tasks.
 
         Args:
-            name: Name of the process, for its threads.
+            name: Name of the process, the prefix of its thread names.
         """
         self.stopping = threading.Event()
         self.is_aborted = False
-        self._clean_ups = ExitStack()
+        self._cleanups = ExitStack()
         self._log = PartLog("runtime")
         self.executor = ThreadPoolExecutor(
-            max_workers=THREADS_MAXIMUM, thread_name_prefix=name
+            max_workers=MAX_THREADS, thread_name_prefix=name
         )
 
     def start(self) -> None:
-        """Starts the application; on an error all that was opened is closed."""
+        """Starts the application; on an error, closes all resources opened so far."""
         try:
             self.on_start()
         except BaseException:
@@ -50,52 +50,52 @@
             raise
 
     def stop(self) -> None:
-        """Stops at once: ends loops, closes what is owned, joins the threads."""
+        """Stops now: ends the loops, runs the cleanup callbacks, joins the threads."""
         self.stopping.set()
         self.on_stop()
-        self._clean_ups.close()
+        self._cleanups.close()
         self.executor.shutdown(wait=True)
 
     def abort(self) -> None:
-        """Stops without a word to anyone; failure tests and the demo call it."""
+        """Stops without notifying peers; used by failure tests and the demo."""
         self.is_aborted = True
         self.stop()
 
     def leave(self, at_once: threading.Event) -> None:
-        """Hook: leaves in the planned way; returns when nothing would be cut.
+        """Hook: leaves gracefully; returns when stopping interrupts no work.
 
         Args:
-            at_once: Ends the wait when set; `stop` follows either way.
+            at_once: Ends the wait when set; `stop` follows in both cases.
         """
 
-    def add_cleanup(self, clean_up: Callable[[], object]) -> None:
-        """Registers a clean-up; the last one registered runs first.
+    def add_cleanup(self, cleanup: Callable[[], object]) -> None:
+        """Registers a cleanup callback; the last one registered runs first.
 
         Args:
-            clean_up: Called once when the application stops.
+            cleanup: Called once when the application stops.
         """
-        self._clean_ups.callback(clean_up)
+        self._cleanups.callback(cleanup)
 
     def spawn(self, task: Callable[..., object], *args: object) -> Future[Any]:
         """Runs a task on a thread of the application.
 
         Args:
-            task: The task; it returns soon after `stopping` is set.
+            task: The task; must return soon after `stopping` is set.
             args: Its arguments.
 
         Returns:
-            The future of the task.
+            Future of the task.
         """
         future = self.executor.submit(task, *args)
-        future.add_done_callback(self._report)
+        future.add_done_callback(self._report_failure)
         return future
 
     def run_every(self, interval: float, step: Callable[[], object]) -> None:
-        """Runs a step again and again until the application stops.
+        """Runs a function periodically until the application stops.
 
         Args:
-            interval: Pause between two steps, seconds.
-            step: The step.
+            interval: Pause between two runs, seconds.
+            step: The function.
         """
 
         def loop() -> None:
@@ -103,18 +103,18 @@
                 try:
                     step()
                 except Exception as error:
-                    # Guards against a fault in one step that ends all later ones: a
-                    # process without its ticks looks alive and does nothing.
+                    # An error in one run must not prevent later runs: a process
+                    # without its ticks seems alive but does nothing.
                     self._log.repeated("step", "A step failed.", error=repr(error))
 
         self.spawn(loop)
 
-    def _report(self, future: Future[Any]) -> None:
+    def _report_failure(self, future: Future[Any]) -> None:
         if not future.cancelled() and (error := future.exception()) is not None:
             self.on_task_failed(error)
 
     def on_task_failed(self, error: BaseException) -> None:
-        """Hook: tells that a task ended with an error, where the process logs.
+        """Hook: logs that a task ended with an error.
 
         Args:
             error: The error.
@@ -125,4 +125,4 @@
         """Hook: opens sockets and starts tasks."""
 
     def on_stop(self) -> None:
-        """Hook: says good-bye before clean-up."""
+        """Hook: notifies peers before cleanup."""
--- a/src/siskinshift/runtime/node_application.py
+++ b/src/siskinshift/runtime/node_application.py
@@ -1,4 +1,4 @@
-"""What balancers and agents have in common: one node of the system."""
+"""Base class of balancers and agents."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     """Owns the sockets, the control server, telemetry and membership of a node.
 
     Attributes:
-        telemetry: What the node tells of itself.
-        counters: What happened to datagrams.
+        telemetry: Metrics and logs of the node.
+        counters: Counters of datagram events.
         key_ring: Keys of the deployment.
-        codec: Packs and unpacks datagrams.
+        codec: Encodes and decodes datagrams.
         drops: Counts and logs dropped datagrams.
-        data_socket: Takes forwarded datagrams.
-        routes: Handlers of messages between processes; parts add theirs.
-        incarnation: Start of this process.
-        member: The node's own state to begin with.
-        membership: The node's part in membership.
+        data_socket: Socket for forwarded datagrams.
+        routes: Handlers of messages between processes; components register theirs.
+        incarnation: Start time of this process, unix milliseconds.
+        member: The node's initial state.
+        membership: Membership protocol of the node.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
         Args:
             settings: All settings of the process.
             role: Balancer or agent.
-            state: State to begin with.
-            weight: Weight to begin with, 0 to 1000.
+            state: Initial state.
+            weight: Initial weight, 0 to 1000.
             upstream_class: Class of the upstream, for an agent.
             slots: Slots of the upstream, for an agent.
         """
@@ -102,7 +102,7 @@
         )
 
     def open_node(self) -> None:
-        """Opens telemetry and the control server; what it opens is owned."""
+        """Starts telemetry and the control server and registers their cleanup."""
         self.telemetry.start()
         self.add_cleanup(self.telemetry.stop)
         self.add_cleanup(self.data_socket.close)
