--- a/src/siskinshift/messages/configuration.py
+++ b/src/siskinshift/messages/configuration.py
@@ -13,8 +13,8 @@
 
     Attributes:
         change_id: Id of the change.
-        service_id: Service it changed.
-        revision: Revision it was written at; 0 for the newest, whose revision is the root record's own.
+        service_id: Service that was changed.
+        revision: Revision of the change; 0 for the latest one, which has the revision of the root record.
     """
 
     change_id: str
@@ -24,11 +24,11 @@
 
 @frozen
 class Root:
-    """The record that every change writes together with a service's record.
+    """Root record, which each change writes together with the record of a service.
 
     Attributes:
-        change_count: Changes that took effect so far.
-        fence_count: Fences written so far; a fence makes a change with a lost answer fail for good.
+        change_count: Number of changes that took effect.
+        fence_count: Number of fences written. A fence makes a change whose response was lost fail permanently.
         changes: The latest changes, oldest first.
     """
 
@@ -42,9 +42,9 @@
     """Value of an entry slot's key.
 
     Attributes:
-        member_id: Balancer that holds the slot.
-        control: Its control endpoint.
-        incarnation: Its incarnation.
+        member_id: Member id of the balancer that holds the slot.
+        control: Control endpoint of the balancer.
+        incarnation: Incarnation of the balancer.
     """
 
     member_id: str
--- a/src/siskinshift/messages/control.py
+++ b/src/siskinshift/messages/control.py
@@ -7,11 +7,11 @@
 
 @frozen
 class ErrorReply:
-    """What a process answers to a message that it refuses.
+    """Reply to a message that is refused.
 
     Attributes:
-        error: Error kind of the closed list.
-        detail: What was wrong, for the log.
+        error: Error kind, a value of ErrorKind.
+        detail: Description of the error, for logs.
     """
 
     error: str
--- a/src/siskinshift/messages/core.py
+++ b/src/siskinshift/messages/core.py
@@ -8,14 +8,14 @@
 
 
 class Role(StrEnum):
-    """What a process of the system does."""
+    """Role of a process of the system."""
 
     BALANCER = "balancer"
     AGENT = "agent"
 
 
 class MemberState(StrEnum):
-    """Life of a member as its peers see it, in the order of a planned life."""
+    """State of a member as known to its peers, in the order of the life cycle."""
 
     JOINING = "joining"
     READY = "ready"
@@ -25,14 +25,14 @@
 
 
 class ServiceMode(StrEnum):
-    """How an agent speaks to callers and its upstream for a service."""
+    """Protocol of a service between callers, agent and upstream."""
 
     DATAGRAM = "datagram"
     REQUEST = "request"
 
 
 class OutcomeKind(StrEnum):
-    """The closed list of what can become of a caller's request."""
+    """Outcome of a caller's request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -41,10 +41,10 @@
 
 @frozen
 class Endpoint:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Attributes:
-        host: IP number in text form.
+        host: IP address in text form.
         port: Port, 0 to 65535.
     """
 
@@ -54,7 +54,7 @@
 
 @frozen
 class Group:
-    """A group of callers and the share of a service it is owed.
+    """A group of callers and its share of a service.
 
     Attributes:
         group_id: Name, unique in its service.
@@ -69,21 +69,21 @@
 
 @frozen
 class Service:
-    """What operators configured for one service.
+    """Configuration of a service.
 
     Attributes:
         service_id: Name, unique in the deployment.
-        addresses: Service addresses callers send to.
-        mode: How callers and upstreams are spoken to.
-        upstream_class: Agents of this class serve the service.
+        addresses: Service addresses that callers send to.
+        mode: Protocol of callers and upstreams.
+        upstream_class: Class of the agents that serve the service.
         groups: Groups with their shares.
-        importance: Higher goes first where services meet.
-        placement: Failure domains allowed; empty for all.
-        drained: Member ids of agents that operators drain.
-        evacuated: Failure domains that operators have evacuated.
+        importance: Priority over other services; higher values take precedence.
+        placement: Allowed failure domains; empty for all.
+        drained: Member ids of agents drained by operators.
+        evacuated: Failure domains evacuated by operators.
         revision: Revision of the record in the key-value service.
         change_id: Id of the change that wrote the record.
-        deleted: Tombstone: keeps an older record from coming back.
+        deleted: Tombstone: prevents an older record from reappearing.
     """
 
     service_id: str
@@ -102,22 +102,22 @@
 
 @frozen
 class Member:
-    """A process of the system as its peers know it.
+    """State of a process as known to its peers.
 
     Attributes:
         member_id: Name, unique in the deployment.
         role: Balancer or agent.
-        incarnation: Start of the process in unix milliseconds; a restart raises it.
-        version: Raised by the member with each change within an incarnation.
+        incarnation: Start time of the process in unix milliseconds; higher after a restart.
+        version: Incremented by the member with each change within an incarnation.
         state: Last known state.
         region: Region from settings.
         failure_domain: Failure domain from settings.
         control: HTTP endpoint for messages between processes.
         data: UDP endpoint for forwarded datagrams.
-        upstream_class: Class of upstream an agent stands beside.
+        upstream_class: Class of the agent's upstream.
         weight: Share of new flows in thousandths of a full agent, 0 to 1000.
-        slots: Requests the upstream runs at once.
-        entry_slot: Revision at which the balancer took an entry slot; 0 when it holds none.
+        slots: Number of requests that the upstream runs concurrently.
+        entry_slot: Revision at which the balancer acquired an entry slot; 0 if it holds none.
     """
 
     member_id: str
--- a/src/siskinshift/messages/flows.py
+++ b/src/siskinshift/messages/flows.py
@@ -7,13 +7,13 @@
 
 @frozen
 class FlowNote:
-    """Says that the sender let a peer create a flow.
+    """States that the sender permitted a peer to create a flow.
 
     Attributes:
         flow_hash: 64-bit flow hash.
         owner_id: Member id of the agent that may create the flow.
         owner_incarnation: Incarnation of that agent.
-        owner_version: Version of that agent's view when it asked.
+        owner_version: Version of that agent's view when it requested the permission.
     """
 
     flow_hash: int
@@ -24,25 +24,25 @@
 
 @frozen
 class FlowNotes:
-    """One message of a hand-over: a claim of buckets, a list of flows in buckets, an acceptance of a list, or an audit.
+    """A handover message: a claim of buckets, a list of flows in buckets, an acceptance of a list, or an audit.
 
     Attributes:
-        service_id: Service the flows belong to.
+        service_id: Service of the flows.
         sender_id: Member id of the sender.
         sender_incarnation: Incarnation of the sender.
-        sender_version: Version of the sender's view; a list speaks of all it asked for up to then.
-        sequence: Number of the message at the sender; an older list never replaces a newer one.
-        claimed_buckets: Claim: buckets whose primary the sender believes to be.
-        claim_version: Claim: version of the sender's view when the claim began.
-        listed_buckets: List: buckets it covers. The sender knows the receiver as primary and creates no flow there.
+        sender_version: Version of the sender's view; a list includes all requests of the sender up to it.
+        sequence: Sequence number of the sender; an older list never replaces a newer one.
+        claimed_buckets: Claim: buckets for which the sender is primary in its view.
+        claim_version: Claim: version of the sender's view at the start of the claim.
+        listed_buckets: List: buckets that it covers. The receiver is their primary in the sender's view, and the sender creates no flow in them.
         flows: List: hashes of all flows that the sender owns in the listed buckets.
-        notes: List: flows in the listed buckets that the sender let others create.
-        given_to: List: other agents whose claims of these buckets the sender confirmed lately.
-        receiver_incarnation: List: incarnation of the receiver whose claim it answers.
-        confirmed_version: List: claim_version of the claim it answers; 0 when it answers none.
-        accepted_buckets: Acceptance: buckets of the list that the sender has taken in.
+        notes: List: flows in the listed buckets that the sender permitted peers to create.
+        given_to: List: other agents whose claims of these buckets the sender confirmed recently.
+        receiver_incarnation: List: incarnation of the receiver whose claim it confirms.
+        confirmed_version: List: claim_version of the claim that it confirms; 0 for none.
+        accepted_buckets: Acceptance: buckets of the list that the sender applied.
         accepted_sequence: Acceptance: sequence of that list.
-        audited_buckets: Audit: buckets whose list the sender wants, because it holds notes that the receiver did not confirm.
+        audited_buckets: Audit: buckets whose list the sender requests, because it holds notes that the receiver did not confirm.
         audited_version: Audit: highest owner_version of those notes.
     """
 
@@ -67,7 +67,7 @@
 
 @frozen
 class FlowNotesReceipt:
-    """Says that a hand-over message has arrived; its answer is a message of its own.
+    """Acknowledges a handover message; the response is a separate message.
 
     Attributes:
         service_id: Service of the message.
--- a/src/siskinshift/messages/load.py
+++ b/src/siskinshift/messages/load.py
@@ -9,15 +9,15 @@
 
 @frozen
 class ReserveSlot:
-    """Asks a peer for a slot for a queued request.
+    """Requests a slot at a peer for a queued request.
 
     Attributes:
-        reservation_id: Name of the reservation, used once.
+        reservation_id: Id of the reservation, used once.
         sender_id: Member id of the agent that holds the request.
         service_id: Service of the request.
         group_id: Group of the request.
-        caller: The caller's IP number.
-        wait: Seconds to wait for a slot; 0 asks for one that is free now.
+        caller: IP address of the caller.
+        wait: Seconds to wait for a slot; 0 requests one that is free now.
         deadline_in: Seconds until the request's deadline.
     """
 
@@ -32,11 +32,11 @@
 
 @frozen
 class ReserveSlotReply:
-    """Says whether a slot is held.
+    """Reply whether a slot is reserved.
 
     Attributes:
-        granted: Whether a slot is held.
-        busy_part: Recent part of slot time in use; a hint.
+        granted: Whether a slot is reserved.
+        busy_part: Recent fraction of slot time in use, a hint.
     """
 
     granted: bool
@@ -45,7 +45,7 @@
 
 @frozen
 class ReleaseSlot:
-    """Gives a reservation back, granted or still waiting.
+    """Releases a reservation, granted or still queued.
 
     Attributes:
         reservation_id: The reservation.
@@ -56,18 +56,18 @@
 
 @frozen
 class LoadReceipt:
-    """Says that a message was taken."""
+    """Acknowledges a message."""
 
 
 @frozen
 class GroupUsage:
-    """What one group uses at one agent.
+    """Usage of a group at an agent.
 
     Attributes:
         service_id: Service of the group.
         group_id: The group.
         used: Slots in use, averaged over some seconds.
-        waiting: Requests that wait.
+        waiting: Number of queued requests.
     """
 
     service_id: str
@@ -78,15 +78,15 @@
 
 @frozen
 class UsageSum:
-    """What all groups use at one agent.
+    """Usage of all groups at an agent.
 
     Attributes:
         agent_id: Member id of the agent.
-        age: Seconds since the agent made the sum.
-        groups: Usage by group; idle groups are left out.
-        busy_part: Recent part of slot time in use.
-        slot_time: Mean time of a request in its slot, seconds; 0 when none is known.
-        sick: Whether the agent finds its upstream sick.
+        age: Age of the sum, seconds.
+        groups: Usage by group, without idle groups.
+        busy_part: Recent fraction of slot time in use.
+        slot_time: Mean time of a request in its slot, seconds; 0 if unknown.
+        sick: Whether the agent considers its upstream unhealthy.
     """
 
     agent_id: str
@@ -99,11 +99,11 @@
 
 @frozen
 class UsageSums:
-    """An agent's own sum and recent ones of its peers.
+    """Usage sum of an agent and recent ones of its peers.
 
     Attributes:
         sender_id: Member id of the sender.
-        sums: The sums, one an agent.
+        sums: The sums, one per agent.
     """
 
     sender_id: str
@@ -112,7 +112,7 @@
 
 @frozen
 class HttpHeader:
-    """One header of a request or an answer.
+    """A header of a request or a response.
 
     Attributes:
         name: Name in lower case.
@@ -125,14 +125,14 @@
 
 @frozen
 class RunRequest:
-    """Offers a queued request to the peer that holds a slot for it.
+    """Sends a queued request to the peer that reserved a slot for it.
 
     Attributes:
         reservation_id: The reservation; a second use is refused.
         method: HTTP method.
         path: HTTP path with its query.
-        headers: Headers that go to the upstream.
-        body: The body.
+        headers: Headers for the upstream.
+        body: Request body.
         deadline_in: Seconds until the request's deadline.
     """
 
@@ -146,14 +146,14 @@
 
 @frozen
 class RunRequestReply:
-    """What became of a request at the peer.
+    """Outcome of a request at the peer.
 
     Attributes:
         outcome: Answered, not run or unknown.
-        status: HTTP status, when answered.
-        headers: Headers of the answer.
-        body: Body of the answer.
-        is_stream: Whether the answer was a stream, which a peer can't pass on.
+        status: HTTP status code, if answered.
+        headers: Response headers.
+        body: Response body.
+        is_stream: Whether the response was a stream, which a peer can't forward.
     """
 
     outcome: OutcomeKind
@@ -165,10 +165,10 @@
 
 @frozen
 class CancelRun:
-    """Passes a caller's cancel to the peer that runs the request.
+    """Forwards a caller's cancellation to the peer that runs the request.
 
     Attributes:
-        reservation_id: The reservation it runs under.
+        reservation_id: The reservation of the request.
     """
 
     reservation_id: str
--- a/src/siskinshift/messages/membership.py
+++ b/src/siskinshift/messages/membership.py
@@ -11,7 +11,7 @@
 
 @frozen
 class Stamp:
-    """Names one state of a record: a member's, or a service's by its revision.
+    """Identifies a version of a record of a member or a service.
 
     Attributes:
         key: Member id or service id.
@@ -26,15 +26,15 @@
 
 @frozen
 class Heartbeat:
-    """A member's sign of life to one of its watchers.
+    """Heartbeat of a member to one of its watchers.
 
     Attributes:
         member_id: The sender.
         incarnation: Its incarnation.
         version: Version of its own state.
-        view_hash: Hash of what an agent knows of its class; empty from a balancer.
-        watchers_hash: Hash of the watchers the sender announces to.
-        member: The whole state when the watcher may not know it.
+        view_hash: Hash of an agent's state of its class; empty from a balancer.
+        watchers_hash: Hash of the sender's list of watchers.
+        member: Full state of the sender, if the watcher may not have it.
     """
 
     member_id: str
@@ -47,15 +47,15 @@
 
 @frozen
 class HeartbeatReply:
-    """What a watcher answers to a heartbeat; empty when nothing changed.
+    """Reply of a watcher to a heartbeat; empty if nothing changed.
 
     Attributes:
-        wanted: Whether the sender's whole state is asked for.
-        known: State of the sender that is newer than its own, to be refuted.
-        watchers: Watchers to announce to, when they changed.
-        members: Members of the sender's class that are news to it.
-        services: Records of the sender's class that are news to it.
-        complete: Whether members and services are all of the class.
+        wanted: Whether the sender's full state is requested.
+        known: Version of the sender's state that is newer than its own, to be refuted.
+        watchers: Watchers of the sender, if they changed.
+        members: Members of the sender's class that it lacks.
+        services: Service records of the sender's class that it lacks.
+        complete: Whether members and services are complete for the class.
     """
 
     wanted: bool = False
@@ -68,10 +68,10 @@
 
 @frozen
 class Ping:
-    """Asks a silent member, or a process in its place, for a sign of life.
+    """Probes an unresponsive member, or a process that replaced it.
 
     Attributes:
-        member_id: Who is asked for.
+        member_id: Member id of the probed member.
     """
 
     member_id: str
@@ -79,10 +79,10 @@
 
 @frozen
 class HeardQuery:
-    """Asks another watcher when it last heard a member.
+    """Queries when another watcher last received a message of a member.
 
     Attributes:
-        member_id: The silent member.
+        member_id: Member id of the unresponsive member.
     """
 
     member_id: str
@@ -90,10 +90,10 @@
 
 @frozen
 class HeardReply:
-    """When a watcher last heard a member.
+    """Time since a watcher last received a message of a member.
 
     Attributes:
-        age: Seconds since then; below 0 when never or not watched.
+        age: Seconds since the last message; below 0 for none or if not watched.
     """
 
     age: float = -1.0
@@ -101,7 +101,7 @@
 
 @frozen
 class News:
-    """States that the receiver may not know.
+    """Updates that the receiver may lack.
 
     Attributes:
         sender_id: The sender.
@@ -116,10 +116,10 @@
 
 @frozen
 class NewsReply:
-    """Says that news arrived.
+    """Acknowledges updates.
 
     Attributes:
-        accepted: How many were news.
+        accepted: Number of updates that were new to the receiver.
     """
 
     accepted: int = 0
@@ -127,7 +127,7 @@
 
 @frozen
 class Digest:
-    """Opens a comparison of two processes' whole state.
+    """Starts a comparison of the full state of two processes.
 
     Attributes:
         sender_id: The sender.
@@ -140,10 +140,10 @@
 
 @frozen
 class DigestReply:
-    """Hashes by bucket when the two states differ.
+    """Hash of each bucket, if the states differ.
 
     Attributes:
-        bucket_hashes: Hash of each bucket; empty when the states are the same.
+        bucket_hashes: Hash of each bucket; empty if the states are equal.
     """
 
     bucket_hashes: tuple[str, ...] = ()
@@ -151,7 +151,7 @@
 
 @frozen
 class Compare:
-    """Compares some buckets record by record.
+    """Compares the records of some buckets.
 
     Attributes:
         sender_id: The sender.
@@ -168,13 +168,13 @@
 
 @frozen
 class CompareReply:
-    """What the sender of a comparison lacks, and what it is asked for.
+    """Records that the sender of a comparison lacks, and requests for newer ones.
 
     Attributes:
         members: Members newer than the sender's.
         services: Services newer than the sender's.
-        wanted_members: Members of which the sender has newer states.
-        wanted_services: Services of which the sender has newer records.
+        wanted_members: Member ids of which the sender has newer states.
+        wanted_services: Service ids of which the sender has newer records.
     """
 
     members: tuple[Member, ...] = ()
--- a/src/siskinshift/settings/generated.py
+++ b/src/siskinshift/settings/generated.py
@@ -12,14 +12,14 @@
 
 @frozen
 class NodeSettings:
-    """Who this process is and where it listens.
+    """Identity and endpoints of this process.
 
     Attributes:
         node_id: Name, unique in the deployment.
-        region: Region this instance stands in.
-        failure_domain: Failure domain this instance stands in.
-        control_endpoint: IP number and port for messages between processes (TCP).
-        data_endpoint: IP number and port for forwarded datagrams (UDP).
+        region: Region of this instance.
+        failure_domain: Failure domain of this instance.
+        control_endpoint: IP address and port for messages between processes (TCP).
+        data_endpoint: IP address and port for forwarded datagrams (UDP).
     """
 
     node_id: str
@@ -31,11 +31,11 @@
 
 @frozen
 class KeysSettings:
-    """Shared keys that authenticate the system's processes to each other.
+    """Shared keys for authentication between the processes of the system.
 
     Attributes:
-        current: Key to sign with, 16 characters or more.
-        previous: Key still accepted while keys are rotated.
+        current: Key for signing, at least 16 characters.
+        previous: Previous key, still accepted during a key rotation.
     """
 
     current: Secret
@@ -47,14 +47,14 @@
     """The platform's key-value service.
 
     Attributes:
-        endpoints: Endpoints, comma-separated; empty when none is used.
-        timeout: Time allowed for one call. In seconds.
-        call_rate: Calls this process may make on average. In calls a second.
-        call_burst: Calls this process may make at once. In calls.
-        check_interval: Pause between two reads of the root record by a holder of an entry slot. In seconds.
-        watch_interval: Silence after which a holder of an entry slot opens its watch again. In seconds.
-        entry_slots: Balancers of each failure domain that read the configuration.
-        lease_ttl: Life of an entry slot's lease without a keep-alive. In seconds.
+        endpoints: Endpoints, comma-separated; empty if the service is not used.
+        timeout: Timeout of a request. In seconds.
+        call_rate: Average rate of requests that this process may send. In calls a second.
+        call_burst: Burst of requests that this process may send. In calls.
+        check_interval: Interval at which the holder of an entry slot reads the root record. In seconds.
+        watch_interval: Time without events after which the holder of an entry slot reopens its watch. In seconds.
+        entry_slots: Number of balancers per failure domain that read the configuration.
+        lease_ttl: Time until an entry slot's lease expires without a keep-alive. In seconds.
     """
 
     endpoints: tuple[Endpoint, ...]
@@ -69,18 +69,18 @@
 
 @frozen
 class MembershipSettings:
-    """How members find and watch each other.
+    """Membership and failure detection.
 
     Attributes:
-        seeds: Control endpoints of balancers to announce to.
-        heartbeat_interval: Pause between two heartbeats to one watcher. In seconds.
-        suspect_after: Silence after which a member that answers no probe counts as suspect. In seconds.
-        gone_after: Silence after which a suspect counts as gone. In seconds.
-        doubt_factor: Times the silence is stretched while most members of a failure domain fall silent at once.
-        call_timeout: Time allowed for one message between processes. In seconds.
-        digest_interval: Pause between two comparisons of the whole state with another balancer. In seconds.
-        start_jitter: Greatest random delay of the first announcement. In seconds.
-        forget_after: Time a member that is gone is remembered. In seconds.
+        seeds: Control endpoints of balancers that receive the first announcement.
+        heartbeat_interval: Interval of heartbeats to each watcher. In seconds.
+        suspect_after: Time without messages after which a member that answers no probe becomes suspect. In seconds.
+        gone_after: Time without messages after which a suspect member becomes gone. In seconds.
+        doubt_factor: Factor by which these times are extended while most members of a failure domain become unresponsive together.
+        call_timeout: Timeout of a message between processes. In seconds.
+        digest_interval: Interval of full state comparisons with another balancer. In seconds.
+        start_jitter: Maximum random delay of the first announcement. In seconds.
+        forget_after: Time until a gone member is removed. In seconds.
     """
 
     seeds: tuple[Endpoint, ...]
@@ -96,21 +96,21 @@
 
 @frozen
 class AgentSettings:
-    """The agent beside an upstream.
+    """The agent of an upstream.
 
     Attributes:
-        upstream_class: Class of the upstream; services name it.
+        upstream_class: Class of the upstream, referenced by services.
         upstream_endpoint: Endpoint of the upstream.
-        slots: Requests the upstream runs at once.
-        fabric_return: Endpoint of the fabric that takes answers (UDP).
-        flow_idle_timeout: Silence after which a datagram flow is closed. In seconds.
-        drain_timeout: Time flows are given to end when the agent drains. In seconds.
-        certificate_file: Certificate chain in PEM for callers of mode request; empty when none is served.
-        private_key_file: Private key in PEM that belongs to the certificate.
-        caller_idle_timeout: Silence after which a caller's HTTP/3 connection is closed. In seconds.
-        request_timeout: Deadline of a request that names none, and the longest one may ask for. In seconds.
-        body_maximum: Largest request body taken. In bytes.
-        connections: Requests and streams the upstream holds at once.
+        slots: Number of requests that the upstream runs concurrently.
+        fabric_return: Endpoint of the fabric that receives return traffic (UDP).
+        flow_idle_timeout: Idle time after which a datagram flow is closed. In seconds.
+        drain_timeout: Time for flows to end while the agent drains. In seconds.
+        certificate_file: Certificate chain in PEM for callers in mode request; empty if this mode is not served.
+        private_key_file: Private key of the certificate, in PEM.
+        caller_idle_timeout: Idle time after which a caller's HTTP/3 connection is closed. In seconds.
+        request_timeout: Default and maximum deadline of a request. In seconds.
+        body_maximum: Maximum size of a request body. In bytes.
+        connections: Number of concurrent requests and streams at the upstream.
     """
 
     upstream_class: str
@@ -129,19 +129,19 @@
 
 @frozen
 class FlowsSettings:
-    """How flows outlive change.
+    """Handover of flows when buckets change owners.
 
     Attributes:
-        settle_delay: Least time after its start before an agent creates flows of its own accord; peers it has not heard of yet become known. In seconds.
-        settle_timeout: Time after which a bucket settles though a silent peer did not confirm. In seconds.
-        max_hops: Times a datagram may be passed on.
-        flow_limit: Flows that an agent owns at most.
-        note_limit: Notes that an agent holds at most.
-        held_limit: Datagrams held at most while their bucket settles.
-        held_timeout: Time after which a held datagram is dropped. In seconds.
-        notes_bytes_per_second: Bytes of hand-over messages that an agent sends a second; a part of its control budget. In bytes.
-        shift_duration: Time over which a draining agent gives its buckets away. In seconds.
-        ramp_duration: Time over which a started agent takes its full weight. In seconds.
+        settle_delay: Minimum time after its start until an agent creates flows without the consent of peers, during which it discovers its peers. In seconds.
+        settle_timeout: Time after which the claim of a bucket completes without the confirmation of an unresponsive peer. In seconds.
+        max_hops: Maximum number of hops of a datagram between agents.
+        flow_limit: Maximum number of flows that an agent owns.
+        note_limit: Maximum number of notes that an agent holds.
+        held_limit: Maximum number of datagrams queued while the claim of their bucket completes.
+        held_timeout: Time after which a queued datagram is dropped. In seconds.
+        notes_bytes_per_second: Bytes of handover messages that an agent sends per second, part of its control budget. In bytes.
+        shift_duration: Time over which a draining agent hands over its buckets. In seconds.
+        ramp_duration: Time over which a started agent ramps up to its full weight. In seconds.
     """
 
     settle_delay: float
@@ -161,12 +161,12 @@
     """The operators' API of a balancer.
 
     Attributes:
-        endpoints: Endpoints to serve the API at, comma-separated; empty when it is not served.
+        endpoints: Endpoints that serve the API, comma-separated; empty if it is not served.
         certificate_file: Certificate chain in PEM for TLS.
-        private_key_file: Private key of the certificate in PEM.
+        private_key_file: Private key of the certificate, in PEM.
         operator_tokens: Bearer tokens that may change the configuration, comma-separated.
         viewer_tokens: Bearer tokens that may only read, comma-separated.
-        watchers: Watch calls served at once.
+        watchers: Maximum number of concurrent watch requests.
     """
 
     endpoints: tuple[Endpoint, ...]
@@ -179,19 +179,19 @@
 
 @frozen
 class LoadSettings:
-    """What is let in, what waits and where work goes under load.
+    """Admission, queueing and distribution of requests under load.
 
     Attributes:
-        queue_limit: Requests of one group that may wait at one agent.
-        queue_time_limit: Longest wait of a request before it is refused. In seconds.
-        caller_part: Part of a group's queue that one caller's IP number may fill.
-        key_limit: Requests with one idempotency key that may be waiting or running at an agent.
-        retry_part: Retries allowed for each recent success.
-        reservation_timeout: Time a slot is held for a peer that has not sent its request yet. In seconds.
-        usage_interval: Pause between two exchanges of usage sums. In seconds.
-        slow_factor: Slot time over the peers' median from which an upstream counts as slow.
-        panic_part: Part of a service's upstreams that may look sick before the detection is doubted.
-        importance_floor: Part of slot time that less important services keep while they wait.
+        queue_limit: Maximum number of queued requests per group and agent.
+        queue_time_limit: Maximum time that a request is queued before it is refused. In seconds.
+        caller_part: Fraction of a group's queue that one caller's IP address may use.
+        key_limit: Maximum number of queued or running requests per idempotency key and agent.
+        retry_part: Number of retries allowed per recent success.
+        reservation_timeout: Time that a slot is reserved for a peer that has not sent its request yet. In seconds.
+        usage_interval: Interval at which usage sums are exchanged. In seconds.
+        slow_factor: Ratio of an upstream's slot time to the median of its peers from which it is slow.
+        panic_part: Fraction of a service's upstreams that may be unhealthy before the detection is ignored.
+        importance_floor: Fraction of slot time reserved for less important services with queued requests.
     """
 
     queue_limit: int
@@ -211,7 +211,7 @@
     """Logs as JSON lines on standard error.
 
     Attributes:
-        level: Most detailed level that is written.
+        level: Most detailed level that is logged.
     """
 
     level: str
@@ -219,13 +219,13 @@
 
 @frozen
 class MetricsSettings:
-    """Metrics by OpenTelemetry; off costs nothing.
+    """OpenTelemetry metrics; no overhead when off.
 
     Attributes:
-        exporter: How metrics leave the process.
-        prometheus_endpoint: Where metrics are served for exporter prometheus.
-        otlp_url: Collector for exporter otlp (HTTP).
-        interval: Pause between two exports to the collector. In seconds.
+        exporter: Exporter of the metrics.
+        prometheus_endpoint: Endpoint that serves metrics for the exporter prometheus.
+        otlp_url: URL of the collector for the exporter otlp (HTTP).
+        interval: Interval of exports to the collector. In seconds.
     """
 
     exporter: str
@@ -236,13 +236,13 @@
 
 @frozen
 class ObjectivesSettings:
-    """Service-level objectives that `report burn` measures against.
+    """Service-level objectives for `report burn`.
 
     Attributes:
-        unbroken_flows: Part of flows that end unbroken. In fraction.
-        answered_in_time: Part of requests answered within time_limit. In fraction.
-        time_limit: Time within which a request counts as answered in time. In seconds.
-        imbalance_limit: Work of the busiest upstream slot over the mean that still counts as balanced. In ratio.
+        unbroken_flows: Fraction of flows that end without a break. In fraction.
+        answered_in_time: Fraction of requests answered within time_limit. In fraction.
+        time_limit: Maximum response time of a request that is answered in time. In seconds.
+        imbalance_limit: Maximum ratio of the busiest upstream slot's work to the mean that is balanced. In ratio.
     """
 
     unbroken_flows: float
@@ -253,15 +253,15 @@
 
 @frozen
 class ClientSettings:
-    """How the operators' commands reach the API; a file of its own.
+    """Access of the operators' commands to the API; a separate file.
 
     Attributes:
         endpoint: API endpoint of a balancer.
-        token: Bearer token, 16 characters or more.
-        authority_file: Certificates in PEM that the server's certificate is checked against.
-        server_name: Name in the server's certificate; empty for the endpoint's IP number.
-        timeout: Time allowed for one call. In seconds.
-        reach_timeout: Time allowed for the look, before each change, whether the balancer is there. In seconds.
+        token: Bearer token, at least 16 characters.
+        authority_file: CA certificates in PEM that verify the server's certificate.
+        server_name: Name in the server's certificate; empty for the endpoint's IP address.
+        timeout: Timeout of a request. In seconds.
+        reach_timeout: Timeout of the check before each change whether the balancer is reachable. In seconds.
     """
 
     endpoint: Endpoint
@@ -277,17 +277,17 @@
     """All settings of a process.
 
     Attributes:
-        node: Who this process is and where it listens.
-        keys: Shared keys that authenticate the system's processes to each other.
+        node: Identity and endpoints of this process.
+        keys: Shared keys for authentication between the processes of the system.
         kv: The platform's key-value service.
-        membership: How members find and watch each other.
-        agent: The agent beside an upstream.
-        flows: How flows outlive change.
+        membership: Membership and failure detection.
+        agent: The agent of an upstream.
+        flows: Handover of flows when buckets change owners.
         api: The operators' API of a balancer.
-        load: What is let in, what waits and where work goes under load.
+        load: Admission, queueing and distribution of requests under load.
         logs: Logs as JSON lines on standard error.
-        metrics: Metrics by OpenTelemetry; off costs nothing.
-        objectives: Service-level objectives that `report burn` measures against.
+        metrics: OpenTelemetry metrics; no overhead when off.
+        objectives: Service-level objectives for `report burn`.
     """
 
     node: NodeSettings
@@ -306,7 +306,7 @@
 SECTIONS: tuple[Section, ...] = (
     Section(
         name="node",
-        doc="Who this process is and where it listens.",
+        doc="Identity and endpoints of this process.",
         settings_class=NodeSettings,
         standalone=False,
         options=(
@@ -319,42 +319,42 @@
                 name="region",
                 type="str",
                 default="region-1",
-                doc="Region this instance stands in.",
+                doc="Region of this instance.",
             ),
             Option(
                 name="failure_domain",
                 type="str",
                 default="fd-1",
-                doc="Failure domain this instance stands in.",
+                doc="Failure domain of this instance.",
             ),
             Option(
                 name="control_endpoint",
                 type="endpoint",
-                doc="IP number and port for messages between processes (TCP).",
+                doc="IP address and port for messages between processes (TCP).",
             ),
             Option(
                 name="data_endpoint",
                 type="endpoint",
-                doc="IP number and port for forwarded datagrams (UDP).",
+                doc="IP address and port for forwarded datagrams (UDP).",
             ),
         ),
     ),
     Section(
         name="keys",
-        doc="Shared keys that authenticate the system's processes to each other.",
+        doc="Shared keys for authentication between the processes of the system.",
         settings_class=KeysSettings,
         standalone=False,
         options=(
             Option(
                 name="current",
                 type="secret",
-                doc="Key to sign with, 16 characters or more.",
+                doc="Key for signing, at least 16 characters.",
             ),
             Option(
                 name="previous",
                 type="secret",
                 default="",
-                doc="Key still accepted while keys are rotated.",
+                doc="Previous key, still accepted during a key rotation.",
             ),
         ),
     ),
@@ -368,7 +368,7 @@
                 name="endpoints",
                 type="endpoints",
                 default="",
-                doc="Endpoints, comma-separated; empty when none is used.",
+                doc="Endpoints, comma-separated; empty if the service is not used.",
             ),
             Option(
                 name="timeout",
@@ -377,7 +377,7 @@
                 minimum=0.01,
                 maximum=60.0,
                 default=1.0,
-                doc="Time allowed for one call.",
+                doc="Timeout of a request.",
             ),
             Option(
                 name="call_rate",
@@ -386,7 +386,7 @@
                 minimum=0.1,
                 maximum=1000.0,
                 default=10.0,
-                doc="Calls this process may make on average.",
+                doc="Average rate of requests that this process may send.",
             ),
             Option(
                 name="call_burst",
@@ -395,7 +395,7 @@
                 minimum=1,
                 maximum=1000,
                 default=40,
-                doc="Calls this process may make at once.",
+                doc="Burst of requests that this process may send.",
             ),
             Option(
                 name="check_interval",
@@ -404,7 +404,7 @@
                 minimum=0.05,
                 maximum=60.0,
                 default=2.0,
-                doc="Pause between two reads of the root record by a holder of an entry slot.",
+                doc="Interval at which the holder of an entry slot reads the root record.",
             ),
             Option(
                 name="watch_interval",
@@ -413,7 +413,7 @@
                 minimum=1.0,
                 maximum=600.0,
                 default=10.0,
-                doc="Silence after which a holder of an entry slot opens its watch again.",
+                doc="Time without events after which the holder of an entry slot reopens its watch.",
             ),
             Option(
                 name="entry_slots",
@@ -421,7 +421,7 @@
                 minimum=1,
                 maximum=16,
                 default=2,
-                doc="Balancers of each failure domain that read the configuration.",
+                doc="Number of balancers per failure domain that read the configuration.",
             ),
             Option(
                 name="lease_ttl",
@@ -430,13 +430,13 @@
                 minimum=1.0,
                 maximum=300.0,
                 default=6.0,
-                doc="Life of an entry slot's lease without a keep-alive.",
+                doc="Time until an entry slot's lease expires without a keep-alive.",
             ),
         ),
     ),
     Section(
         name="membership",
-        doc="How members find and watch each other.",
+        doc="Membership and failure detection.",
         settings_class=MembershipSettings,
         standalone=False,
         options=(
@@ -444,7 +444,7 @@
                 name="seeds",
                 type="endpoints",
                 default="",
-                doc="Control endpoints of balancers to announce to.",
+                doc="Control endpoints of balancers that receive the first announcement.",
             ),
             Option(
                 name="heartbeat_interval",
@@ -453,7 +453,7 @@
                 minimum=0.05,
                 maximum=10.0,
                 default=1.0,
-                doc="Pause between two heartbeats to one watcher.",
+                doc="Interval of heartbeats to each watcher.",
             ),
             Option(
                 name="suspect_after",
@@ -462,7 +462,7 @@
                 minimum=0.1,
                 maximum=60.0,
                 default=1.4,
-                doc="Silence after which a member that answers no probe counts as suspect.",
+                doc="Time without messages after which a member that answers no probe becomes suspect.",
             ),
             Option(
                 name="gone_after",
@@ -471,7 +471,7 @@
                 minimum=0.2,
                 maximum=60.0,
                 default=2.2,
-                doc="Silence after which a suspect counts as gone.",
+                doc="Time without messages after which a suspect member becomes gone.",
             ),
             Option(
                 name="doubt_factor",
@@ -479,7 +479,7 @@
                 minimum=1.0,
                 maximum=100.0,
                 default=3.0,
-                doc="Times the silence is stretched while most members of a failure domain fall silent at once.",
+                doc="Factor by which these times are extended while most members of a failure domain become unresponsive together.",
             ),
             Option(
                 name="call_timeout",
@@ -488,7 +488,7 @@
                 minimum=0.02,
                 maximum=10.0,
                 default=0.25,
-                doc="Time allowed for one message between processes.",
+                doc="Timeout of a message between processes.",
             ),
             Option(
                 name="digest_interval",
@@ -497,7 +497,7 @@
                 minimum=0.1,
                 maximum=600.0,
                 default=5.0,
-                doc="Pause between two comparisons of the whole state with another balancer.",
+                doc="Interval of full state comparisons with another balancer.",
             ),
             Option(
                 name="start_jitter",
@@ -506,7 +506,7 @@
                 minimum=0.0,
                 maximum=60.0,
                 default=0.5,
-                doc="Greatest random delay of the first announcement.",
+                doc="Maximum random delay of the first announcement.",
             ),
             Option(
                 name="forget_after",
@@ -515,13 +515,13 @@
                 minimum=10.0,
                 maximum=86400.0,
                 default=3600.0,
-                doc="Time a member that is gone is remembered.",
+                doc="Time until a gone member is removed.",
             ),
         ),
     ),
     Section(
         name="agent",
-        doc="The agent beside an upstream.",
+        doc="The agent of an upstream.",
         settings_class=AgentSettings,
         standalone=False,
         options=(
@@ -529,7 +529,7 @@
                 name="upstream_class",
                 type="str",
                 default="",
-                doc="Class of the upstream; services name it.",
+                doc="Class of the upstream, referenced by services.",
             ),
             Option(
                 name="upstream_endpoint",
@@ -543,13 +543,13 @@
                 minimum=1,
                 maximum=10000,
                 default=1,
-                doc="Requests the upstream runs at once.",
+                doc="Number of requests that the upstream runs concurrently.",
             ),
             Option(
                 name="fabric_return",
                 type="endpoint",
                 default="127.0.0.1:9001",
-                doc="Endpoint of the fabric that takes answers (UDP).",
+                doc="Endpoint of the fabric that receives return traffic (UDP).",
             ),
             Option(
                 name="flow_idle_timeout",
@@ -558,7 +558,7 @@
                 minimum=1.0,
                 maximum=604800.0,
                 default=14400.0,
-                doc="Silence after which a datagram flow is closed.",
+                doc="Idle time after which a datagram flow is closed.",
             ),
             Option(
                 name="drain_timeout",
@@ -567,19 +567,19 @@
                 minimum=0.0,
                 maximum=604800.0,
                 default=14400.0,
-                doc="Time flows are given to end when the agent drains.",
+                doc="Time for flows to end while the agent drains.",
             ),
             Option(
                 name="certificate_file",
                 type="str",
                 default="",
-                doc="Certificate chain in PEM for callers of mode request; empty when none is served.",
+                doc="Certificate chain in PEM for callers in mode request; empty if this mode is not served.",
             ),
             Option(
                 name="private_key_file",
                 type="str",
                 default="",
-                doc="Private key in PEM that belongs to the certificate.",
+                doc="Private key of the certificate, in PEM.",
             ),
             Option(
                 name="caller_idle_timeout",
@@ -588,7 +588,7 @@
                 minimum=1.0,
                 maximum=3600.0,
                 default=60.0,
-                doc="Silence after which a caller's HTTP/3 connection is closed.",
+                doc="Idle time after which a caller's HTTP/3 connection is closed.",
             ),
             Option(
                 name="request_timeout",
@@ -597,7 +597,7 @@
                 minimum=0.1,
                 maximum=3600.0,
                 default=30.0,
-                doc="Deadline of a request that names none, and the longest one may ask for.",
+                doc="Default and maximum deadline of a request.",
             ),
             Option(
                 name="body_maximum",
@@ -606,7 +606,7 @@
                 minimum=1,
                 maximum=1073741824,
                 default=4194304,
-                doc="Largest request body taken.",
+                doc="Maximum size of a request body.",
             ),
             Option(
                 name="connections",
@@ -614,13 +614,13 @@
                 minimum=1,
                 maximum=100000,
                 default=2000,
-                doc="Requests and streams the upstream holds at once.",
+                doc="Number of concurrent requests and streams at the upstream.",
             ),
         ),
     ),
     Section(
         name="flows",
-        doc="How flows outlive change.",
+        doc="Handover of flows when buckets change owners.",
         settings_class=FlowsSettings,
         standalone=False,
         options=(
@@ -631,7 +631,7 @@
                 minimum=0.0,
                 maximum=60.0,
                 default=1.5,
-                doc="Least time after its start before an agent creates flows of its own accord; peers it has not heard of yet become known.",
+                doc="Minimum time after its start until an agent creates flows without the consent of peers, during which it discovers its peers.",
             ),
             Option(
                 name="settle_timeout",
@@ -640,7 +640,7 @@
                 minimum=0.1,
                 maximum=120.0,
                 default=10.0,
-                doc="Time after which a bucket settles though a silent peer did not confirm.",
+                doc="Time after which the claim of a bucket completes without the confirmation of an unresponsive peer.",
             ),
             Option(
                 name="max_hops",
@@ -648,7 +648,7 @@
                 minimum=1,
                 maximum=16,
                 default=6,
-                doc="Times a datagram may be passed on.",
+                doc="Maximum number of hops of a datagram between agents.",
             ),
             Option(
                 name="flow_limit",
@@ -656,7 +656,7 @@
                 minimum=1,
                 maximum=1000000,
                 default=100000,
-                doc="Flows that an agent owns at most.",
+                doc="Maximum number of flows that an agent owns.",
             ),
             Option(
                 name="note_limit",
@@ -664,7 +664,7 @@
                 minimum=1,
                 maximum=1000000,
                 default=200000,
-                doc="Notes that an agent holds at most.",
+                doc="Maximum number of notes that an agent holds.",
             ),
             Option(
                 name="held_limit",
@@ -672,7 +672,7 @@
                 minimum=0,
                 maximum=100000,
                 default=1024,
-                doc="Datagrams held at most while their bucket settles.",
+                doc="Maximum number of datagrams queued while the claim of their bucket completes.",
             ),
             Option(
                 name="held_timeout",
@@ -681,7 +681,7 @@
                 minimum=0.0,
                 maximum=60.0,
                 default=5.0,
-                doc="Time after which a held datagram is dropped.",
+                doc="Time after which a queued datagram is dropped.",
             ),
             Option(
                 name="notes_bytes_per_second",
@@ -690,7 +690,7 @@
                 minimum=1000,
                 maximum=1000000000,
                 default=12000,
-                doc="Bytes of hand-over messages that an agent sends a second; a part of its control budget.",
+                doc="Bytes of handover messages that an agent sends per second, part of its control budget.",
             ),
             Option(
                 name="shift_duration",
@@ -699,7 +699,7 @@
                 minimum=0.0,
                 maximum=3.0,
                 default=1.5,
-                doc="Time over which a draining agent gives its buckets away.",
+                doc="Time over which a draining agent hands over its buckets.",
             ),
             Option(
                 name="ramp_duration",
@@ -708,7 +708,7 @@
                 minimum=0.0,
                 maximum=600.0,
                 default=10.0,
-                doc="Time over which a started agent takes its full weight.",
+                doc="Time over which a started agent ramps up to its full weight.",
             ),
         ),
     ),
@@ -722,7 +722,7 @@
                 name="endpoints",
                 type="endpoints",
                 default="",
-                doc="Endpoints to serve the API at, comma-separated; empty when it is not served.",
+                doc="Endpoints that serve the API, comma-separated; empty if it is not served.",
             ),
             Option(
                 name="certificate_file",
@@ -734,7 +734,7 @@
                 name="private_key_file",
                 type="str",
                 default="",
-                doc="Private key of the certificate in PEM.",
+                doc="Private key of the certificate, in PEM.",
             ),
             Option(
                 name="operator_tokens",
@@ -754,13 +754,13 @@
                 minimum=1,
                 maximum=256,
                 default=8,
-                doc="Watch calls served at once.",
+                doc="Maximum number of concurrent watch requests.",
             ),
         ),
     ),
     Section(
         name="load",
-        doc="What is let in, what waits and where work goes under load.",
+        doc="Admission, queueing and distribution of requests under load.",
         settings_class=LoadSettings,
         standalone=False,
         options=(
@@ -770,7 +770,7 @@
                 minimum=1,
                 maximum=100000,
                 default=64,
-                doc="Requests of one group that may wait at one agent.",
+                doc="Maximum number of queued requests per group and agent.",
             ),
             Option(
                 name="queue_time_limit",
@@ -779,7 +779,7 @@
                 minimum=0.01,
                 maximum=600.0,
                 default=1.0,
-                doc="Longest wait of a request before it is refused.",
+                doc="Maximum time that a request is queued before it is refused.",
             ),
             Option(
                 name="caller_part",
@@ -787,7 +787,7 @@
                 minimum=0.01,
                 maximum=1.0,
                 default=0.25,
-                doc="Part of a group's queue that one caller's IP number may fill.",
+                doc="Fraction of a group's queue that one caller's IP address may use.",
             ),
             Option(
                 name="key_limit",
@@ -795,7 +795,7 @@
                 minimum=1,
                 maximum=1000,
                 default=2,
-                doc="Requests with one idempotency key that may be waiting or running at an agent.",
+                doc="Maximum number of queued or running requests per idempotency key and agent.",
             ),
             Option(
                 name="retry_part",
@@ -803,7 +803,7 @@
                 minimum=0.0,
                 maximum=1.0,
                 default=0.1,
-                doc="Retries allowed for each recent success.",
+                doc="Number of retries allowed per recent success.",
             ),
             Option(
                 name="reservation_timeout",
@@ -812,7 +812,7 @@
                 minimum=0.01,
                 maximum=10.0,
                 default=0.25,
-                doc="Time a slot is held for a peer that has not sent its request yet.",
+                doc="Time that a slot is reserved for a peer that has not sent its request yet.",
             ),
             Option(
                 name="usage_interval",
@@ -821,7 +821,7 @@
                 minimum=0.05,
                 maximum=60.0,
                 default=0.5,
-                doc="Pause between two exchanges of usage sums.",
+                doc="Interval at which usage sums are exchanged.",
             ),
             Option(
                 name="slow_factor",
@@ -829,7 +829,7 @@
                 minimum=1.5,
                 maximum=100.0,
                 default=3.0,
-                doc="Slot time over the peers' median from which an upstream counts as slow.",
+                doc="Ratio of an upstream's slot time to the median of its peers from which it is slow.",
             ),
             Option(
                 name="panic_part",
@@ -837,7 +837,7 @@
                 minimum=0.1,
                 maximum=1.0,
                 default=0.5,
-                doc="Part of a service's upstreams that may look sick before the detection is doubted.",
+                doc="Fraction of a service's upstreams that may be unhealthy before the detection is ignored.",
             ),
             Option(
                 name="importance_floor",
@@ -845,7 +845,7 @@
                 minimum=0.0,
                 maximum=0.5,
                 default=0.05,
-                doc="Part of slot time that less important services keep while they wait.",
+                doc="Fraction of slot time reserved for less important services with queued requests.",
             ),
         ),
     ),
@@ -860,13 +860,13 @@
                 type="choice",
                 choices=("off", "error", "info", "debug"),
                 default="info",
-                doc="Most detailed level that is written.",
+                doc="Most detailed level that is logged.",
             ),
         ),
     ),
     Section(
         name="metrics",
-        doc="Metrics by OpenTelemetry; off costs nothing.",
+        doc="OpenTelemetry metrics; no overhead when off.",
         settings_class=MetricsSettings,
         standalone=False,
         options=(
@@ -875,19 +875,19 @@
                 type="choice",
                 choices=("off", "prometheus", "otlp"),
                 default="off",
-                doc="How metrics leave the process.",
+                doc="Exporter of the metrics.",
             ),
             Option(
                 name="prometheus_endpoint",
                 type="endpoint",
                 default="127.0.0.1:9464",
-                doc="Where metrics are served for exporter prometheus.",
+                doc="Endpoint that serves metrics for the exporter prometheus.",
             ),
             Option(
                 name="otlp_url",
                 type="str",
                 default="http://127.0.0.1:4318/v1/metrics",
-                doc="Collector for exporter otlp (HTTP).",
+                doc="URL of the collector for the exporter otlp (HTTP).",
             ),
             Option(
                 name="interval",
@@ -896,13 +896,13 @@
                 minimum=1.0,
                 maximum=600.0,
                 default=15.0,
-                doc="Pause between two exports to the collector.",
+                doc="Interval of exports to the collector.",
             ),
         ),
     ),
     Section(
         name="objectives",
-        doc="Service-level objectives that `report burn` measures against.",
+        doc="Service-level objectives for `report burn`.",
         settings_class=ObjectivesSettings,
         standalone=False,
         options=(
@@ -913,7 +913,7 @@
                 minimum=0.5,
                 maximum=0.999999,
                 default=0.9999,
-                doc="Part of flows that end unbroken.",
+                doc="Fraction of flows that end without a break.",
             ),
             Option(
                 name="answered_in_time",
@@ -922,7 +922,7 @@
                 minimum=0.5,
                 maximum=0.999999,
                 default=0.999,
-                doc="Part of requests answered within time_limit.",
+                doc="Fraction of requests answered within time_limit.",
             ),
             Option(
                 name="time_limit",
@@ -931,7 +931,7 @@
                 minimum=0.001,
                 maximum=3600.0,
                 default=1.0,
-                doc="Time within which a request counts as answered in time.",
+                doc="Maximum response time of a request that is answered in time.",
             ),
             Option(
                 name="imbalance_limit",
@@ -940,13 +940,13 @@
                 minimum=1.0,
                 maximum=100.0,
                 default=1.25,
-                doc="Work of the busiest upstream slot over the mean that still counts as balanced.",
+                doc="Maximum ratio of the busiest upstream slot's work to the mean that is balanced.",
             ),
         ),
     ),
     Section(
         name="client",
-        doc="How the operators' commands reach the API; a file of its own.",
+        doc="Access of the operators' commands to the API; a separate file.",
         settings_class=ClientSettings,
         standalone=True,
         options=(
@@ -958,18 +958,18 @@
             Option(
                 name="token",
                 type="secret",
-                doc="Bearer token, 16 characters or more.",
+                doc="Bearer token, at least 16 characters.",
             ),
             Option(
                 name="authority_file",
                 type="str",
-                doc="Certificates in PEM that the server's certificate is checked against.",
+                doc="CA certificates in PEM that verify the server's certificate.",
             ),
             Option(
                 name="server_name",
                 type="str",
                 default="",
-                doc="Name in the server's certificate; empty for the endpoint's IP number.",
+                doc="Name in the server's certificate; empty for the endpoint's IP address.",
             ),
             Option(
                 name="timeout",
@@ -978,7 +978,7 @@
                 minimum=1.0,
                 maximum=300.0,
                 default=20.0,
-                doc="Time allowed for one call.",
+                doc="Timeout of a request.",
             ),
             Option(
                 name="reach_timeout",
@@ -987,7 +987,7 @@
                 minimum=0.1,
                 maximum=60.0,
                 default=3.0,
-                doc="Time allowed for the look, before each change, whether the balancer is there.",
+                doc="Timeout of the check before each change whether the balancer is reachable.",
             ),
         ),
     ),
