--- a/tools/compile_records.py
+++ b/tools/compile_records.py
@@ -51,7 +51,7 @@
 """
 
 
-class UnknownFormError(Exception):
+class UnsupportedFormError(Exception):
     """A class that is written in a way that is not known here."""
 
 
@@ -172,7 +172,7 @@
             # Guards against a name that is gone at run time: a task of each node ends
             # with the first use of it.
             if alias.name not in IMPORTED_NAMES or alias.asname:
-                raise UnknownFormError(f"import of {ast.unparse(alias)} from attrs")
+                raise UnsupportedFormError(f"import of {ast.unparse(alias)} from attrs")
         return None
 
     def visit_Import(self, node: ast.Import) -> ast.Import | None:
@@ -197,7 +197,7 @@
         Its new source text, without comments; the same text if it has no records.
 
     Raises:
-        UnknownFormError: A class or call of attrs that is not known here.
+        UnsupportedFormError: A class or call of attrs that is not known here.
     """
     writer = _RecordWriter()
     tree = writer.visit(ast.parse(source))
@@ -208,19 +208,19 @@
     tree.body[start:start] = ast.parse(helpers).body
     text = ast.unparse(ast.fix_missing_locations(tree))
     if "attrs." in text:
-        raise UnknownFormError("a call of attrs is left")
+        raise UnsupportedFormError("a call of attrs is left")
     return text
 
 
 def _record_of(node: ast.ClassDef) -> Record:
     if node.bases or len(node.decorator_list) != 1:
-        raise UnknownFormError(f"{node.name}: bases or several decorators")
+        raise UnsupportedFormError(f"{node.name}: bases or several decorators")
     decorator = node.decorator_list[0]
     options = {}
     if isinstance(decorator, ast.Call):
         options = {str(k.arg): ast.literal_eval(k.value) for k in decorator.keywords}
     if options not in ({}, {"eq": False}):
-        raise UnknownFormError(f"{node.name}: options {options}")
+        raise UnsupportedFormError(f"{node.name}: options {options}")
     methods = {i.name for i in node.body if isinstance(i, ast.FunctionDef)}
     return Record(
         name=node.name,
@@ -234,7 +234,7 @@
 def _field_of(node: ast.AnnAssign) -> Field:
     name = ast.unparse(node.target)
     if name.startswith("_") or "ClassVar" in ast.unparse(node.annotation):
-        raise UnknownFormError(f"field {name}")
+        raise UnsupportedFormError(f"field {name}")
     if node.value is None:
         return Field(name, "", is_made=False)
     if isinstance(node.value, ast.Call) and _decorator_name(node.value) == "Factory":
