--- a/tools/binary/__init__.py
+++ b/tools/binary/__init__.py
@@ -1,3 +1,3 @@
-"""Builds the product as one binary."""
+"""Sources of the single-file binary."""
 
 from __future__ import annotations
--- a/tools/binary/launcher.c
+++ b/tools/binary/launcher.c
@@ -1,7 +1,7 @@
-/* Starts the interpreter on the archive that is appended to this very file.
+/* Starts the interpreter with the archive that is appended to this executable.
  *
- * Nothing is unpacked and no process is started: Python modules are read from the
- * archive, extension modules are loaded from anonymous memory files.
+ * Nothing is unpacked to disk and no child process is started: Python modules are read
+ * from the archive, extension modules are loaded from anonymous memory files.
  */
 #define PY_SSIZE_T_CLEAN
 #include <Python.h>
@@ -10,7 +10,7 @@
 #define SELF "/proc/self/exe"
 #define START "import siskinshift_bootstrap; siskinshift_bootstrap.start()"
 
-/* Libraries that extension modules need are matched by soname once loaded. */
+/* Loads a library that extension modules need; the loader then finds it by soname. */
 static PyObject *load_library(PyObject *module, PyObject *args)
 {
     const char *path;
@@ -40,8 +40,8 @@
     PyStatus status;
     PyConfig_InitIsolatedConfig(config);
     config->parse_argv = 0;
-    /* Failure: a peer that closes its connection ends the whole process by SIGPIPE.
-     * The interpreter's handlers ignore that signal; an isolated one leaves them out. */
+    /* The interpreter's handlers ignore SIGPIPE, but an isolated configuration does not
+     * install them. Without them a peer that closes its connection ends the process. */
     config->install_signal_handlers = 1;
     config->write_bytecode = 0;
     config->module_search_paths_set = 1;
--- a/tools/binary/siskinshift_bootstrap.py
+++ b/tools/binary/siskinshift_bootstrap.py
@@ -1,9 +1,9 @@
-"""First module of the binary: loads extension modules out of the archive.
+"""First module of the binary; loads extension modules from the archive.
 
-The C library loads shared objects from files only. Each one is therefore written
-into an anonymous memory file (memfd) of this process; nothing reaches a disk and
-no other process can see it. The descriptors stay open: the loader knows libraries by
-path, and a number used again would give it the wrong one.
+The C library loads shared objects from files only. Each one is therefore written to an
+anonymous memory file (memfd) of this process, not to a disk and not visible to other
+processes. The descriptors stay open: the loader identifies libraries by path, and a
+reused descriptor number would refer to the wrong library.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 import _siskinshift_launcher
 
 
-# Only built-in and frozen modules may be imported here: others are compressed, and
-# zlib is an extension module itself. Type checkers know the name.
+# Only built-in and frozen modules can be imported here: all others are compressed, and
+# zlib is itself an extension module. Type checkers treat this name as true.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -31,13 +31,13 @@
 
 
 class MemoryExtensionFinder:
-    """Finds extension modules that the archive holds."""
+    """Import finder for the extension modules of the archive."""
 
     def __init__(self) -> None:
         self._importer = zipimport.zipimporter(ARCHIVE)
         index = marshal.loads(self._importer.get_data(INDEX_ENTRY))
         self._entries_by_module: dict[str, str] = index["modules"]
-        self._libraries_by_module: dict[str, list[str]] = index["libraries"]
+        self._libraries_by_entry: dict[str, list[str]] = index["libraries"]
         self._loaded_libraries: set[str] = set()
 
     def find_spec(
@@ -46,22 +46,22 @@
         path: Sequence[str] | None = None,
         target: ModuleType | None = None,
     ) -> ModuleSpec | None:
-        """Finds one module.
+        """Finds an extension module.
 
         Args:
             fullname: Dotted name of the module.
-            path: Unused; the index knows full names.
+            path: Unused; the index contains full names.
             target: Unused.
 
         Returns:
-            Its spec, or None when it is no extension module of the archive.
+            Its spec, or None if the archive has no such extension module.
         """
         entry = self._entries_by_module.get(fullname)
         if entry is None:
             return None
-        for library in self._libraries_by_module.get(entry, ()):
+        for library in self._libraries_by_entry.get(entry, ()):
             self._load_library(library)
-        file_path = self._memory_file(entry)
+        file_path = self._create_memory_file(entry)
         loader = external.ExtensionFileLoader(fullname, file_path)
         return external.spec_from_file_location(fullname, file_path, loader=loader)
 
@@ -69,9 +69,9 @@
         if entry in self._loaded_libraries:
             return
         self._loaded_libraries.add(entry)
-        _siskinshift_launcher.load_library(self._memory_file(entry))
+        _siskinshift_launcher.load_library(self._create_memory_file(entry))
 
-    def _memory_file(self, entry: str) -> str:
+    def _create_memory_file(self, entry: str) -> str:
         descriptor = os.memfd_create(os.path.basename(entry), os.MFD_CLOEXEC)
         data = memoryview(self._importer.get_data(entry))
         while data:
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,6 +1,6 @@
-"""Builds dist/siskinshift: interpreter, libraries and product in one file.
+"""Builds dist/siskinshift: interpreter, libraries and package in one file.
 
-Needs gcc and the static library of the running Python (libpython3.x.a).
+Requires gcc and the static library of the running Python (libpython3.x.a).
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 LAUNCHER = ROOT / "tools" / "binary" / "launcher.c"
 BOOTSTRAP = ROOT / "tools" / "binary" / "siskinshift_bootstrap.py"
 INDEX_ENTRY = "siskinshift_extensions.bin"
-# A fixed time keeps the binary the same for the same input.
+# A fixed time makes the build reproducible.
 ENTRY_TIME = (2020, 1, 1, 0, 0, 0)
-# Part of every system that runs linked programs; the rest travels with the binary.
+# Libraries that each system provides; all others are bundled.
 SYSTEM_LIBRARIES: tuple[str, ...] = (
     *("linux-vdso", "ld-linux", "libc.", "libm.", "libdl.", "libpthread."),
     *("libutil.", "librt.", "libpython"),
 )
-LEFT_OUT_FOLDERS = frozenset(
+EXCLUDED_FOLDERS = frozenset(
     {"test", "tests", "idlelib", "tkinter", "ensurepip", "lib2to3", "turtledemo"}
     | {"site-packages", "lib-dynload", "__pycache__", "distutils", "pydoc_data"}
 )
-# Extensions of the standard library that the product has no use for.
-LEFT_OUT_EXTENSIONS: tuple[str, ...] = (
+# Extensions of the standard library that the package doesn't use.
+EXCLUDED_EXTENSIONS: tuple[str, ...] = (
     *("_test", "_xx", "xx", "_tkinter", "_curses", "_dbm", "_gdbm"),
     *("readline", "_sqlite3", "nis", "ossaudiodev", "_crypt"),
 )
-# The interpreter reads these before it can decompress.
+# Stored uncompressed, because the interpreter reads them before it loads zlib.
 STORED_PREFIXES: tuple[str, ...] = (
     *("encodings/", "zlib", "__future__", "siskinshift_bootstrap"),
     *("siskinshift_libraries/libz", INDEX_ENTRY),
@@ -51,12 +51,12 @@
 
 @define
 class Archive:
-    """Collects entries and the index of extension modules.
+    """Entries of the archive and the index of its extension modules.
 
     Attributes:
         data_by_entry: Content by path in the archive.
         entries_by_module: Path of each extension module by dotted name.
-        libraries_by_entry: Paths of the libraries that an extension needs.
+        libraries_by_entry: Paths of the libraries that each extension needs.
     """
 
     data_by_entry: dict[str, bytes] = Factory(dict)
@@ -68,11 +68,11 @@
 
         Args:
             folder: The folder.
-            prefix: Path of its content in the archive, ends with "/" or empty.
+            prefix: Path of its content in the archive; ends with "/" or is empty.
         """
         for path in sorted(folder.rglob("*")):
             relative = path.relative_to(folder)
-            if path.is_file() and not LEFT_OUT_FOLDERS & set(relative.parts):
+            if path.is_file() and not EXCLUDED_FOLDERS & set(relative.parts):
                 self.add_file(path, prefix + relative.as_posix())
 
     def add_file(self, path: Path, entry: str) -> None:
@@ -80,10 +80,10 @@
 
         Args:
             path: The file.
-            entry: Its path in the archive.
+            entry: Path in the archive.
         """
         if path.suffix == ".py":
-            self.data_by_entry[entry + "c"] = _compiled(path, entry)
+            self.data_by_entry[entry + "c"] = _compile_source(path, entry)
         elif path.suffix == ".so":
             self._add_extension(path, entry)
         elif path.suffix not in (".pyc", ".pyi", ".pyx", ".c", ".h", ".a"):
@@ -107,7 +107,7 @@
         """Writes the archive.
 
         Args:
-            path: The file.
+            path: Path of the archive.
         """
         index = {
             "modules": self.entries_by_module,
@@ -115,7 +115,7 @@
         }
         self.data_by_entry[INDEX_ENTRY] = marshal.dumps(index)
         with zipfile.ZipFile(path, "w") as archive:
-            # Without entries of their own, folders are no namespace packages.
+            # Folders without an entry are not imported as namespace packages.
             for folder in sorted(self._folders()):
                 archive.writestr(zipfile.ZipInfo(f"{folder}/", ENTRY_TIME), b"")
             for entry, data in sorted(self.data_by_entry.items()):
@@ -133,11 +133,11 @@
 
 
 def _compression(entry: str) -> int:
-    is_early = entry.startswith(STORED_PREFIXES)
-    return zipfile.ZIP_STORED if is_early else zipfile.ZIP_DEFLATED
+    is_stored = entry.startswith(STORED_PREFIXES)
+    return zipfile.ZIP_STORED if is_stored else zipfile.ZIP_DEFLATED
 
 
-def _compiled(path: Path, entry: str) -> bytes:
+def _compile_source(path: Path, entry: str) -> bytes:
     code = compile(path.read_bytes(), entry, "exec", dont_inherit=True, optimize=0)
     data = importlib._bootstrap_external._code_to_hash_pyc(  # type: ignore[attr-defined]
         code, b"\0" * 8, checked=False
@@ -149,10 +149,14 @@
     listing = subprocess.run(
         ["ldd", str(path)], capture_output=True, text=True, check=True
     ).stdout
-    libraries = [Path(one) for one in re.findall(r"=> (/\S+)", listing)]
-    own = [one for one in libraries if not one.name.startswith(SYSTEM_LIBRARIES)]
-    # A library must be loaded after those that it needs; ldd lists them the other way.
-    return own[::-1]
+    libraries = [Path(path_text) for path_text in re.findall(r"=> (/\S+)", listing)]
+    bundled = [
+        library
+        for library in libraries
+        if not library.name.startswith(SYSTEM_LIBRARIES)
+    ]
+    # A library must be loaded after its dependencies; ldd lists them in reverse order.
+    return bundled[::-1]
 
 
 def _requirement_name(requirement: str) -> str:
@@ -161,28 +165,30 @@
 
 def _needed_distributions() -> list[importlib.metadata.Distribution]:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-    waiting = [_requirement_name(one) for one in project["dependencies"]]
-    found: dict[str, importlib.metadata.Distribution] = {}
-    while waiting:
-        name = waiting.pop().replace("_", "-")
-        if name in found:
+    pending = [
+        _requirement_name(requirement) for requirement in project["dependencies"]
+    ]
+    distributions_by_name: dict[str, importlib.metadata.Distribution] = {}
+    while pending:
+        name = pending.pop().replace("_", "-")
+        if name in distributions_by_name:
             continue
         try:
-            found[name] = importlib.metadata.distribution(name)
+            distributions_by_name[name] = importlib.metadata.distribution(name)
         except importlib.metadata.PackageNotFoundError:
-            continue  # An optional extra or one for other systems.
-        for requirement in found[name].requires or ():
+            continue  # An optional extra or a requirement of other systems.
+        for requirement in distributions_by_name[name].requires or ():
             if "extra ==" not in requirement:
-                waiting.append(_requirement_name(requirement))
-    return [found[name] for name in sorted(found)]
+                pending.append(_requirement_name(requirement))
+    return [distributions_by_name[name] for name in sorted(distributions_by_name)]
 
 
 def _add_distributions(archive: Archive) -> None:
     for distribution in _needed_distributions():
         for file in distribution.files or ():
             path = Path(str(file.locate()))
-            inside = not file.as_posix().startswith("..")
-            if inside and path.is_file() and not LEFT_OUT_FOLDERS & set(file.parts):
+            is_inside = not file.as_posix().startswith("..")
+            if is_inside and path.is_file() and not EXCLUDED_FOLDERS & set(file.parts):
                 archive.add_file(path, file.as_posix())
 
 
@@ -190,7 +196,7 @@
     variables = sysconfig.get_config_vars()
     library = Path(variables["LIBPL"]) / f"libpython{variables['LDVERSION']}.a"
     if not library.exists():
-        sys.exit(f"{library.name} is not there: install Python with its static library")
+        sys.exit(f"{library.name} not found: install Python with its static library")
     command = ["gcc", "-O2", "-s", "-no-pie", f"-I{sysconfig.get_path('include')}"]
     command += [str(LAUNCHER), str(library), "-Wl,--export-dynamic"]
     command += ["-lm", "-ldl", "-lpthread", "-lutil", "-o", str(output)]
@@ -204,7 +210,7 @@
     standard_library = Path(sysconfig.get_path("stdlib"))
     archive.add_tree(standard_library)
     for path in sorted((standard_library / "lib-dynload").glob("*.so")):
-        if not path.name.startswith(LEFT_OUT_EXTENSIONS):
+        if not path.name.startswith(EXCLUDED_EXTENSIONS):
             archive.add_file(path, path.name)
     _add_distributions(archive)
     archive.add_tree(ROOT / "src")
--- a/tools/compile_records.py
+++ b/tools/compile_records.py
@@ -1,15 +1,15 @@
-"""Writes out the methods of attrs classes in a copy of the package, for the nodes.
-
-`attrs` writes and compiles the methods of each class whenever a process starts, and
-loads a third of the standard library to do so: 0.07 of the 0.18 s of processor time
-that a node's start took beside the interpreter's own. On a fifth of a core callers wait
-four times as long for that. Here the same methods are written once, at build time, and
-neither `attrs` nor `inspect` is loaded by a node.
-
-Only what the nodes use is known: `define`, `define(eq=False)`, `frozen`, `Factory`,
-`evolve`, a hook after construction. Anything else ends the build. A frozen class can
-be changed by its attributes afterwards: that is checked where the tests run, on the
-classes of `attrs` themselves.
+"""Replaces attrs classes by generated code in a copy of the package, for the nodes.
+
+`attrs` generates and compiles the methods of each class whenever a process starts and
+imports a third of the standard library for it: 0.07 of the 0.18 s of processor time
+that a node's start takes besides the interpreter's own. On a fifth of a core, callers
+wait four times as long for it. This tool generates the same methods at build time, so
+that a node imports neither `attrs` nor `inspect`.
+
+Supports only what the nodes use: `define`, `define(eq=False)`, `frozen`, `Factory`,
+`evolve` and a hook after construction. Anything else fails the build. Instances of the
+generated frozen classes are mutable; the tests check that none is changed, since they
+run with the classes of `attrs`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 PACKAGE = "siskinshift"
-# What the two programs load; no other module is touched.
+# Lists the modules that the two programs import; only these are compiled.
 LIST_MODULES = """
 import sys
 import siskinshift.connections.run
@@ -52,7 +52,7 @@
 
 
 class UnsupportedFormError(Exception):
-    """A class that is written in a way that is not known here."""
+    """A use of attrs that this tool does not support."""
 
 
 @frozen
@@ -60,41 +60,41 @@
     """A field of a record.
 
     Attributes:
-        name: Its name.
-        default: Its default or the callable that makes it, source text; empty for none.
-        is_made: Whether the default is made anew by a callable for each record.
+        name: Name of the field.
+        default: Source text of the default or its factory; empty for none.
+        has_factory: Whether a factory creates the default for each record.
     """
 
     name: str
     default: str
-    is_made: bool
+    has_factory: bool
 
     @property
     def parameter(self) -> str:
-        """The field among the parameters of the constructor."""
-        if self.is_made:
+        """Parameter of the constructor for the field."""
+        if self.has_factory:
             return f"{self.name}={NOTHING}"
         return f"{self.name}={self.default}" if self.default else self.name
 
     @property
     def assignment(self) -> str:
-        """The statement of the constructor that sets it."""
-        if not self.is_made:
+        """Statement of the constructor that sets the field."""
+        if not self.has_factory:
             return f"self.{self.name} = {self.name}"
-        made = f"({self.default})() if {self.name} is {NOTHING} else {self.name}"
-        return f"self.{self.name} = {made}"
+        value = f"({self.default})() if {self.name} is {NOTHING} else {self.name}"
+        return f"self.{self.name} = {value}"
 
 
 @define
 class Record:
-    """An attrs class as it stands in a module.
+    """An attrs class of a module.
 
     Attributes:
-        name: Its name.
-        is_frozen: Whether its records may be keys.
-        has_equality: Whether records with equal fields are equal.
-        fields: Its fields in order.
-        has_post_init: Whether a hook follows the constructor.
+        name: Name of the class.
+        is_frozen: Whether its instances are hashable.
+        has_equality: Whether instances with equal fields are equal.
+        fields: Fields in order.
+        has_post_init: Whether a hook runs after the constructor.
     """
 
     name: str
@@ -104,10 +104,10 @@
     has_post_init: bool
 
     def methods(self) -> list[ast.stmt]:
-        """Writes its slots and methods.
+        """Generates the slots and the methods.
 
         Returns:
-            Statements for the body of the class.
+            Statements for the class body.
         """
         names = tuple(field.name for field in self.fields)
         parts = [
@@ -147,18 +147,18 @@
 
 
 class _RecordWriter(ast.NodeTransformer):
-    """Replaces the attrs classes of one module and its calls of attrs."""
+    """Replaces the attrs classes and the calls of attrs in a module."""
 
     def __init__(self) -> None:
-        self.records = 0
-        self.evolves = False
+        self.record_count = 0
+        self.has_evolve_calls = False
 
     def visit_ClassDef(self, node: ast.ClassDef) -> ast.ClassDef:
         self.generic_visit(node)
         if not any(_decorator_name(d) in DECORATORS for d in node.decorator_list):
             return node
-        record = _record_of(node)
-        self.records += 1
+        record = _parse_record(node)
+        self.record_count += 1
         node.decorator_list = []
         kept = [item for item in node.body if not isinstance(item, ast.AnnAssign)]
         docstring = 1 if ast.get_docstring(node, clean=False) is not None else 0
@@ -169,10 +169,12 @@
         if node.module != "attrs":
             return node
         for alias in node.names:
-            # Guards against a name that is gone at run time: a task of each node ends
-            # with the first use of it.
+            # Other names would be missing at run time and fail a task of each node at
+            # their first use.
             if alias.name not in IMPORTED_NAMES or alias.asname:
-                raise UnsupportedFormError(f"import of {ast.unparse(alias)} from attrs")
+                raise UnsupportedFormError(
+                    f"import of {ast.unparse(alias)} from attrs is not supported"
+                )
         return None
 
     def visit_Import(self, node: ast.Import) -> ast.Import | None:
@@ -182,64 +184,66 @@
     def visit_Call(self, node: ast.Call) -> ast.Call:
         self.generic_visit(node)
         if ast.unparse(node.func) == "attrs.evolve":
-            self.evolves = True
+            self.has_evolve_calls = True
             node.func = ast.Name("_evolve", ast.Load())
         return node
 
 
 def compile_module(source: str) -> str:
-    """Writes out the records of one module.
+    """Replaces the attrs classes of a module.
 
     Args:
-        source: Its source text.
+        source: Source text of the module.
 
     Returns:
-        Its new source text, without comments; the same text if it has no records.
+        New source text without comments; the same text if it does not use attrs.
 
     Raises:
-        UnsupportedFormError: A class or call of attrs that is not known here.
+        UnsupportedFormError: A use of attrs is not supported.
     """
     writer = _RecordWriter()
     tree = writer.visit(ast.parse(source))
-    if not writer.records and not writer.evolves:
+    if not writer.record_count and not writer.has_evolve_calls:
         return source
     start = _after_future_imports(tree.body)
-    helpers = f"{NOTHING} = object()\n" + (EVOLVE if writer.evolves else "")
+    helpers = f"{NOTHING} = object()\n" + (EVOLVE if writer.has_evolve_calls else "")
     tree.body[start:start] = ast.parse(helpers).body
     text = ast.unparse(ast.fix_missing_locations(tree))
     if "attrs." in text:
-        raise UnsupportedFormError("a call of attrs is left")
+        raise UnsupportedFormError("a use of attrs was not replaced")
     return text
 
 
-def _record_of(node: ast.ClassDef) -> Record:
+def _parse_record(node: ast.ClassDef) -> Record:
     if node.bases or len(node.decorator_list) != 1:
-        raise UnsupportedFormError(f"{node.name}: bases or several decorators")
+        raise UnsupportedFormError(
+            f"{node.name}: bases or several decorators are not supported"
+        )
     decorator = node.decorator_list[0]
     options = {}
     if isinstance(decorator, ast.Call):
         options = {str(k.arg): ast.literal_eval(k.value) for k in decorator.keywords}
     if options not in ({}, {"eq": False}):
-        raise UnsupportedFormError(f"{node.name}: options {options}")
+        raise UnsupportedFormError(f"{node.name}: options {options} are not supported")
     methods = {i.name for i in node.body if isinstance(i, ast.FunctionDef)}
     return Record(
         name=node.name,
         is_frozen=_decorator_name(decorator) == "frozen",
         has_equality=not options,
-        fields=[_field_of(i) for i in node.body if isinstance(i, ast.AnnAssign)],
+        fields=[_parse_field(i) for i in node.body if isinstance(i, ast.AnnAssign)],
         has_post_init=POST_INIT in methods,
     )
 
 
-def _field_of(node: ast.AnnAssign) -> Field:
+def _parse_field(node: ast.AnnAssign) -> Field:
     name = ast.unparse(node.target)
     if name.startswith("_") or "ClassVar" in ast.unparse(node.annotation):
-        raise UnsupportedFormError(f"field {name}")
+        raise UnsupportedFormError(f"field {name} is not supported")
     if node.value is None:
-        return Field(name, "", is_made=False)
+        return Field(name, "", has_factory=False)
     if isinstance(node.value, ast.Call) and _decorator_name(node.value) == "Factory":
-        return Field(name, ast.unparse(node.value.args[0]), is_made=True)
-    return Field(name, ast.unparse(node.value), is_made=False)
+        return Field(name, ast.unparse(node.value.args[0]), has_factory=True)
+    return Field(name, ast.unparse(node.value), has_factory=False)
 
 
 def _decorator_name(node: ast.expr) -> str:
@@ -254,20 +258,20 @@
 
 
 def modules_of_nodes(folder: Path) -> list[str]:
-    """Lists the modules of the package that a node loads.
+    """Returns the modules of the package that a node imports.
 
     Args:
-        folder: Folder that holds the package.
+        folder: Folder that contains the package.
 
     Returns:
-        Their names.
+        Names of the modules.
     """
     output = subprocess.check_output(
         [sys.executable, "-c", LIST_MODULES],
         text=True,
         env={
             "PYTHONPATH": os.pathsep.join([str(folder), *sys.path]),
-            # Compiled files of the classes as they were would be taken for the new.
+            # Cached bytecode of the original classes would be used for the new ones.
             "PYTHONDONTWRITEBYTECODE": "1",
         },
     )
@@ -275,10 +279,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Writes out the records of all modules that the nodes load, in place.
+    """Replaces the attrs classes in all modules that the nodes import, in place.
 
     Args:
-        arguments: The folder that holds the copy of the package.
+        arguments: Folder that contains the copy of the package.
 
     Returns:
         Exit status.
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,7 +1,7 @@
 """Generates code from the schema.
 
-attrs classes for messages and settings from schema/*.toml, and the classes of the
-operators' API from schema/operators.proto.
+Generates the attrs classes of messages and settings and the settings page from
+schema/*.toml, and the classes of the operators' API from schema/operators.proto.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     return type_name
 
 
-def _inner_name(type_name: str) -> str:
+def _element_type(type_name: str) -> str:
     inner = type_name.removeprefix("list[").removesuffix("]")
     return inner.removesuffix(" | None")
 
@@ -82,8 +82,8 @@
     needed: set[str] = set()
     for message in messages.values():
         for field in message.get("fields", {}).values():
-            needed.add(_inner_name(field["type"]))
-    foreign = sorted(
+            needed.add(_element_type(field["type"]))
+    imported = sorted(
         name
         for name in needed - SCALARS
         if module_by_type.get(name, path.stem) != path.stem
@@ -92,7 +92,7 @@
     lines += ["", "from __future__ import annotations", ""]
     lines += ["from enum import StrEnum", ""] if enums else []
     lines += ["from attrs import frozen", ""] if messages else []
-    for name in foreign:
+    for name in imported:
         lines.append(f"from siskinshift.messages.{module_by_type[name]} import {name}")
     lines += ["", ""]
     for name, enum in enums.items():
@@ -202,8 +202,8 @@
 
 
 def _api_modules() -> dict[Path, str]:
-    # The schema is mapped into the package's path, so that imports between the
-    # generated modules are absolute.
+    # Maps the schema to the package's path, so that the generated modules import each
+    # other by absolute names.
     with tempfile.TemporaryDirectory() as folder:
         subprocess.run(
             [
@@ -227,10 +227,10 @@
 
 
 def generated_files() -> dict[Path, str]:
-    """Generates all modules.
+    """Generates all files.
 
     Returns:
-        The text of each generated module by its path.
+        Text of each generated file by path.
     """
     paths = sorted((SCHEMA / "messages").glob("*.toml"))
     modules = _module_by_type(paths)
@@ -247,10 +247,10 @@
 
 
 def main() -> int:
-    """Writes the modules, or with --check compares them.
+    """Writes the generated files, or compares them under --check.
 
     Returns:
-        1 when a module on disk is not current under --check, else 0.
+        1 if a file on disk is outdated under --check, else 0.
     """
     check = "--check" in sys.argv[1:]
     texts = generated_files()
@@ -261,7 +261,7 @@
     ]
     if check:
         for path in stale:
-            print(f"not current: {path.relative_to(ROOT)}; run `make generate`")
+            print(f"outdated: {path.relative_to(ROOT)}; run `make generate`")
         return 1 if stale else 0
     for path, text in texts.items():
         path.write_text(text)
