--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -42,8 +42,8 @@
     from siskinshift.control.server import ControlRoutes
     from siskinshift.core.clocks import Clock
     from siskinshift.core.keyring import KeyRing
-    from siskinshift.core.requests import AnswerReservation
     from siskinshift.core.requests import ReleaseAtPeer
+    from siskinshift.core.requests import ReplyToReservation
     from siskinshift.core.requests import ReserveAtPeer
     from siskinshift.core.requests import RunAtPeer
     from siskinshift.core.views import View
@@ -322,7 +322,7 @@
 
     # The side that has the slot.
 
-    def answer_reservation(self, action: AnswerReservation) -> None:
+    def answer_reservation(self, action: ReplyToReservation) -> None:
         """Takes the gate's answer to a peer's request.
 
         Args:
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -14,11 +14,11 @@
 from siskinshift.agent.upstream_exchange import ExchangeEnd
 from siskinshift.agent.upstream_exchange import UpstreamExchange
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.requests import AnswerReservation
 from siskinshift.core.requests import CancelAtUpstream
 from siskinshift.core.requests import FailRequest
 from siskinshift.core.requests import RefuseRequest
 from siskinshift.core.requests import ReleaseAtPeer
+from siskinshift.core.requests import ReplyToReservation
 from siskinshift.core.requests import ReserveAtPeer
 from siskinshift.core.requests import RunAtPeer
 from siskinshift.core.requests import RunResult
@@ -361,8 +361,8 @@
         if self.hand_over is not None:
             self.hand_over.run(action, self._calls_by_id[action.request_id])
 
-    @carries_out(AnswerReservation)
-    def _answer_reservation(self, action: AnswerReservation) -> None:
+    @carries_out(ReplyToReservation)
+    def _answer_reservation(self, action: ReplyToReservation) -> None:
         if self.hand_over is not None:
             self.hand_over.answer_reservation(action)
 
--- a/src/siskinshift/bench/load_agents.py
+++ b/src/siskinshift/bench/load_agents.py
@@ -13,10 +13,10 @@
 from siskinshift.bench.load_model import ModelUpstream
 from siskinshift.bench.load_scenarios import SHARES_BY_GROUP
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.requests import AnswerReservation
 from siskinshift.core.requests import FailRequest
 from siskinshift.core.requests import RefuseRequest
 from siskinshift.core.requests import ReleaseAtPeer
+from siskinshift.core.requests import ReplyToReservation
 from siskinshift.core.requests import Request
 from siskinshift.core.requests import ReserveAtPeer
 from siskinshift.core.requests import RunAtPeer
@@ -249,7 +249,7 @@
         elif isinstance(action, ReleaseAtPeer):
             peer = self._index_by_name[action.peer_id]
             self._send(partial(self._on_release, peer, action.reservation_id))
-        elif isinstance(action, AnswerReservation):
+        elif isinstance(action, ReplyToReservation):
             asker, request_id = self._asked_by_reservation[action.reservation_id]
             self._send(partial(self._on_answer, asker, request_id, index, action))
         elif isinstance(action, RunAtPeer):
@@ -299,7 +299,7 @@
         self._carry_out(peer, actions)
 
     def _on_answer(
-        self, asker: int, request_id: int, peer: int, answer: AnswerReservation
+        self, asker: int, request_id: int, peer: int, answer: ReplyToReservation
     ) -> None:
         actions = self.gates[asker].handle_reservation_reply(
             request_id,
--- a/src/siskinshift/core/requests.py
+++ b/src/siskinshift/core/requests.py
@@ -137,7 +137,7 @@
 
 
 @frozen
-class AnswerReservation:
+class ReplyToReservation:
     """Action: reply to a peer whether a slot is reserved for its request.
 
     Attributes:
@@ -167,7 +167,7 @@
     | ReserveAtPeer
     | ReleaseAtPeer
     | RunAtPeer
-    | AnswerReservation
+    | ReplyToReservation
     | CancelAtUpstream
 )
 
--- a/src/siskinshift/load/dispatcher.py
+++ b/src/siskinshift/load/dispatcher.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.requests import AnswerReservation
+from siskinshift.core.requests import ReplyToReservation
 from siskinshift.core.requests import StartRequest
 from siskinshift.load.fair_queues import group_key
 from siskinshift.load.work import WorkState
@@ -76,7 +76,7 @@
         self._state.upstream_health.record_start(now=now)
         if work.is_from_peer:
             work.state = WorkState.RESERVED
-            return [AnswerReservation(work.reservation_id, True)]
+            return [ReplyToReservation(work.reservation_id, True)]
         work.state = WorkState.RUNNING
         work.offered = True
         work.attempts += 1
--- a/src/siskinshift/load/peer_requests.py
+++ b/src/siskinshift/load/peer_requests.py
@@ -5,7 +5,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from siskinshift.core.requests import AnswerReservation
+from siskinshift.core.requests import ReplyToReservation
 from siskinshift.core.requests import Request
 from siskinshift.load.fair_queues import group_key
 from siskinshift.load.reservations import Reservations
@@ -59,11 +59,11 @@
         """
         reservation_id = message.reservation_id
         if not self._reservations.is_new(reservation_id):
-            return [AnswerReservation(reservation_id, False)]
+            return [ReplyToReservation(reservation_id, False)]
         work = self._make_work(message, now=now)
         if not self._accepts(work, waits=message.wait > 0, now=now):
             self._reservations.end(reservation_id, now=now)
-            return [AnswerReservation(reservation_id, False)]
+            return [ReplyToReservation(reservation_id, False)]
         self._state.work_by_id[work.request.request_id] = work
         self._reservations.open(reservation_id, work.request.request_id)
         self._state.queues.push(work)
@@ -206,7 +206,7 @@
         """
         self._state.queues.remove(work)
         self.drop(work, now=now)
-        return [AnswerReservation(work.reservation_id, False)]
+        return [ReplyToReservation(work.reservation_id, False)]
 
     def drop(self, work: WorkItem, *, now: float) -> None:
         """Removes a peer's request and ends its reservation.
