--- a/src/siskinshift/core/keyring.py
+++ b/src/siskinshift/core/keyring.py
@@ -18,8 +18,8 @@
     """Signs with the current key; also accepts the previous one during a rotation."""
 
     def __init__(self, settings: KeysSettings) -> None:
-        texts = [settings.current.value, settings.previous.value]
-        self._keys = [_derive_key(text) for text in texts if text]
+        secrets = [settings.current.value, settings.previous.value]
+        self._keys = [_derive_key(secret) for secret in secrets if secret]
 
     def sign(self, data: bytes) -> bytes:
         """Computes the authenticator of the data.
@@ -47,9 +47,9 @@
         )
 
 
-def _derive_key(text: str) -> bytes:
+def _derive_key(secret: str) -> bytes:
     # BLAKE2b accepts keys of up to 64 bytes; configured secrets may be longer.
-    return hashlib.blake2b(text.encode(), digest_size=32).digest()
+    return hashlib.blake2b(secret.encode(), digest_size=32).digest()
 
 
 def _digest(key: bytes, data: bytes) -> bytes:
--- a/src/siskinshift/runtime/datagrams.py
+++ b/src/siskinshift/runtime/datagrams.py
@@ -16,7 +16,7 @@
 
 MAX_DATAGRAM_SIZE = 65535
 RECEIVE_BUFFER_BYTES = 4 << 20
-POLL_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 
 _log = PartLog("datagrams")
 
@@ -41,7 +41,7 @@
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
         )
         self._socket.bind((endpoint.host, endpoint.port))
-        self._socket.settimeout(POLL_SECONDS)
+        self._socket.settimeout(POLL_INTERVAL_SECONDS)
 
     @property
     def endpoint(self) -> Endpoint:
--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -49,11 +49,11 @@
     Returns:
         The socket.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    opened.bind((host, port))
-    opened.setblocking(False)
-    return opened
+    udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    udp_socket.bind((host, port))
+    udp_socket.setblocking(False)
+    return udp_socket
 
 
 class EventLoop:
@@ -83,7 +83,7 @@
 
     def add_socket(
         self,
-        opened: socket.socket,
+        udp_socket: socket.socket,
         handle: DatagramHandler,
         *,
         read_last: bool = False,
@@ -91,7 +91,7 @@
         """Passes the datagrams of a socket to a handler.
 
         Args:
-            opened: Socket of `open_datagram_socket`; the caller closes it.
+            udp_socket: Socket of `open_datagram_socket`; the caller closes it.
             handle: Called with the datagram, its source and the time.
             read_last: Whether it is read last in each iteration, so that timers run
                 after the received datagrams are handled. Otherwise an overloaded
@@ -99,9 +99,9 @@
                 its queries.
         """
         if read_last:
-            self._handlers_read_last.append((opened, handle))
-            self._sockets_read_last.add(opened)
-        self._selector.register(opened, selectors.EVENT_READ, handle)
+            self._handlers_read_last.append((udp_socket, handle))
+            self._sockets_read_last.add(udp_socket)
+        self._selector.register(udp_socket, selectors.EVENT_READ, handle)
 
     def add_timer(self, step: Callable[[float], float]) -> None:
         """Registers a timer, run when it is due and soon after events are handled.
@@ -147,8 +147,8 @@
             elif key.fileobj not in self._sockets_read_last:
                 self._receive(key.fileobj, key.data, MAX_BATCH_DATAGRAMS)
         if ready:
-            for opened, handle in self._handlers_read_last:
-                self._receive(opened, handle, MAX_LAST_BATCH_DATAGRAMS)
+            for udp_socket, handle in self._handlers_read_last:
+                self._receive(udp_socket, handle, MAX_LAST_BATCH_DATAGRAMS)
 
     def close(self) -> None:
         """Closes the resources of the loop."""
@@ -195,13 +195,13 @@
 
     def _receive(
         self,
-        opened: Any,
+        udp_socket: Any,
         handle: DatagramHandler,
         count: int,
     ) -> None:
         for _ in range(count):
             try:
-                datagram, source = opened.recvfrom(MAX_DATAGRAM_SIZE)
+                datagram, source = udp_socket.recvfrom(MAX_DATAGRAM_SIZE)
             except OSError:
                 # No datagram is left, or an earlier datagram was sent to a closed port;
                 # the socket remains usable in both cases.
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -201,9 +201,11 @@
 
     def _connect(self, timeout: float) -> socket.socket:
         if self._socket is None:
-            allowed = min(timeout, self._connect_timeout)
+            connect_timeout = min(timeout, self._connect_timeout)
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            connection.settimeout(extend_timeout(allowed, failures=self._failures))
+            connection.settimeout(
+                extend_timeout(connect_timeout, failures=self._failures)
+            )
             # Set before it connects, so that `close` interrupts the connection attempt.
             self._socket = connection
             try:
--- a/src/siskinshift/runtime/http_server.py
+++ b/src/siskinshift/runtime/http_server.py
@@ -147,9 +147,9 @@
         with self._lock:
             connections = tuple(self._connections)
         # A shutdown before closing interrupts waits in other threads at once.
-        for opened in (self._listener, *connections):
+        for open_socket in (self._listener, *connections):
             with contextlib.suppress(OSError):
-                opened.shutdown(socket.SHUT_RDWR)
+                open_socket.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
     def _accept(self) -> None:
