--- a/src/siskinshift/settings/generated.py
+++ b/src/siskinshift/settings/generated.py
@@ -76,7 +76,7 @@
         heartbeat_interval: Interval of heartbeats to each watcher. In seconds.
         suspect_after: Time without messages after which a member that answers no probe becomes suspect. In seconds.
         gone_after: Time without messages after which a suspect member becomes gone. In seconds.
-        doubt_factor: Factor by which these times are extended while most members of a failure domain become unresponsive together.
+        doubt_factor: Factor by which suspect_after and gone_after are extended while most members of a failure domain are unresponsive at once.
         call_timeout: Timeout of a message between processes. In seconds.
         digest_interval: Interval of full state comparisons with another balancer. In seconds.
         start_jitter: Maximum random delay of the first announcement. In seconds.
@@ -479,7 +479,7 @@
                 minimum=1.0,
                 maximum=100.0,
                 default=3.0,
-                doc="Factor by which these times are extended while most members of a failure domain become unresponsive together.",
+                doc="Factor by which suspect_after and gone_after are extended while most members of a failure domain are unresponsive at once.",
             ),
             Option(
                 name="call_timeout",
