--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -117,19 +117,19 @@
 
     def on_start(self) -> None:
         """Opens the control server, joins membership and starts to accept flows."""
-        self.owns(self._flows.close)
-        self.owns(self._connections.close)
-        self.owns(self._handover.close)
+        self.add_cleanup(self._flows.close)
+        self.add_cleanup(self._connections.close)
+        self.add_cleanup(self._handover.close)
         self.open_node()
         self.membership.views.subscribe(self._on_view)
         self.membership.start()
         self.spawn(self.data_socket.receive_until, self.stopping, self._on_datagram)
         self.spawn(self._flows.relay_until, self.stopping)
-        self.every(TICK_SECONDS, self._tick)
+        self.run_every(TICK_SECONDS, self._tick)
 
     def on_stop(self) -> None:
         """Closes the connections of callers and cancels exchanges with the upstream."""
-        self._request_flows.close(is_abrupt=self.is_abandoned)
+        self._request_flows.close(is_abrupt=self.is_aborted)
         self._runner.cancel_all()
         self._handover.cancel_all()
 
@@ -202,10 +202,10 @@
         try:
             envelope = self.codec.unpack_envelope(datagram)
         except WireError as error:
-            self.drops.dropped(error.kind, host=source[0], port=source[1])
+            self.drops.record(error.kind, host=source[0], port=source[1])
             return
         if envelope.hop_count > self.settings.flows.max_hops:
-            self.drops.dropped(ErrorKind.HOP_LIMIT, host=source[0], port=source[1])
+            self.drops.record(ErrorKind.HOP_LIMIT, host=source[0], port=source[1])
             return
         with self._lock:
             actions = self._router.on_envelope(envelope, now=monotonic_clock())
@@ -245,13 +245,13 @@
             elif isinstance(action, SendNotes):
                 self._notes_sender.send(action)
             elif isinstance(action, DropEnvelope):
-                self.drops.dropped(action.error)
+                self.drops.record(action.error)
 
     def _deliver(self, action: DeliverToFlow) -> None:
         view = self.membership.views.current
         service = view.services_by_id.get(action.service_id)
         if service is None:
-            self.drops.dropped(ErrorKind.UNKNOWN_ADDRESS)
+            self.drops.record(ErrorKind.UNKNOWN_ADDRESS)
         elif service.mode is ServiceMode.REQUEST:
             self._request_flows.deliver(action.flow_hash, service, action.packet)
         else:
--- a/src/siskinshift/agent/failure_responses.py
+++ b/src/siskinshift/agent/failure_responses.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     Returns:
         The HTTP/3 header fields.
     """
-    response = ANSWERS_BY_KIND[error]
+    response = ERROR_RESPONSES_BY_KIND[error]
     fields = [
         (":status", str(response.http_status)),
         (OUTCOME_HEADER, response.outcome.value),
--- a/src/siskinshift/agent/hand_over.py
+++ b/src/siskinshift/agent/hand_over.py
@@ -43,8 +43,8 @@
     from siskinshift.control.server import ControlRoutes
     from siskinshift.core.clocks import Clock
     from siskinshift.core.keyring import KeyRing
-    from siskinshift.core.requests import AnswerReservation
     from siskinshift.core.requests import ReleaseAtPeer
+    from siskinshift.core.requests import ReplyToReservation
     from siskinshift.core.requests import ReserveAtPeer
     from siskinshift.core.requests import RunAtPeer
     from siskinshift.core.views import View
@@ -115,11 +115,11 @@
         self._peer_runs_by_request_id: dict[int, _PeerRun] = {}
         self._exchanges_by_reservation_id: dict[str, UpstreamExchange] = {}
         runner.handover = self
-        routes.handles(RESERVE_PATH, ReserveSlot)(self._on_reserve)
-        routes.handles(RELEASE_PATH, ReleaseSlot)(self._on_release)
-        routes.handles(RUN_PATH, RunRequest)(self._on_run)
-        routes.handles(CANCEL_PATH, CancelRun)(self._on_cancel)
-        routes.handles(USAGE_PATH, UsageSums)(self._on_usage)
+        routes.route(RESERVE_PATH, ReserveSlot)(self._on_reserve)
+        routes.route(RELEASE_PATH, ReleaseSlot)(self._on_release)
+        routes.route(RUN_PATH, RunRequest)(self._on_run)
+        routes.route(CANCEL_PATH, CancelRun)(self._on_cancel)
+        routes.route(USAGE_PATH, UsageSums)(self._on_usage)
 
     def __len__(self) -> int:
         return len(self._exchanges_by_reservation_id)
@@ -334,7 +334,7 @@
 
     # Receiving side: this agent has the slot.
 
-    def reply_to_reservation(self, action: AnswerReservation) -> None:
+    def reply_to_reservation(self, action: ReplyToReservation) -> None:
         """Completes the pending reply to a reservation of a peer.
 
         Args:
--- a/src/siskinshift/agent/observed_response.py
+++ b/src/siskinshift/agent/observed_response.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from siskinshift.core.errors import ANSWERS_BY_KIND
+from siskinshift.core.errors import ERROR_RESPONSES_BY_KIND
 from siskinshift.core.errors import ErrorKind
 from siskinshift.messages.core import OutcomeKind
 
@@ -62,7 +62,7 @@
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
         """Writes the final response of a request that the upstream did not answer."""
         if error not in UNCOUNTED_KINDS:
-            self._report_once(ANSWERS_BY_KIND[error].outcome)
+            self._report_once(ERROR_RESPONSES_BY_KIND[error].outcome)
         self._writer.fail(error, retry_after=retry_after)
 
     def _report_once(self, outcome: OutcomeKind) -> None:
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -18,11 +18,11 @@
 from siskinshift.agent.upstream_exchange import ExchangeEnd
 from siskinshift.agent.upstream_exchange import UpstreamExchange
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.requests import AnswerReservation
 from siskinshift.core.requests import CancelAtUpstream
 from siskinshift.core.requests import FailRequest
 from siskinshift.core.requests import RefuseRequest
 from siskinshift.core.requests import ReleaseAtPeer
+from siskinshift.core.requests import ReplyToReservation
 from siskinshift.core.requests import ReserveAtPeer
 from siskinshift.core.requests import RunAtPeer
 from siskinshift.core.requests import RunResult
@@ -368,8 +368,8 @@
         if self.handover is not None:
             self.handover.run(action, self._requests_by_id[action.request_id])
 
-    @handles_action(AnswerReservation)
-    def _reply_to_reservation(self, action: AnswerReservation) -> None:
+    @handles_action(ReplyToReservation)
+    def _reply_to_reservation(self, action: ReplyToReservation) -> None:
         if self.handover is not None:
             self.handover.reply_to_reservation(action)
 
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -68,8 +68,8 @@
         if not self.settings.kv.endpoints:
             return
         self.membership.views.subscribe(self._reader.update)
-        self.owns(self._reader.stop)
-        self.every(TICK_SECONDS, self._reader.step)
+        self.add_cleanup(self._reader.stop)
+        self.run_every(TICK_SECONDS, self._reader.step)
 
     @property
     def operators_ports(self) -> list[int]:
@@ -92,7 +92,7 @@
             store_available=lambda: store.is_available,
         )
         self._operators_server = OperatorsServer(self.settings.api, service)
-        self.owns(self._operators_server.stop)
+        self.add_cleanup(self._operators_server.stop)
         self._operators_server.start()
 
     def leave(self, stop_now: threading.Event) -> None:
@@ -128,11 +128,11 @@
         try:
             packet = self.codec.unpack(datagram)
         except WireError as error:
-            self.drops.dropped(error.kind, host=source[0], port=source[1])
+            self.drops.record(error.kind, host=source[0], port=source[1])
             return
         choice = self._chooser.choose(packet)
         if isinstance(choice, DropPacket):
-            self.drops.dropped(choice.error, caller=packet.caller.host)
+            self.drops.record(choice.error, caller=packet.caller.host)
             return
         envelope = Envelope(packet=packet, view_version=self._view_version)
         self.data_socket.send(self.codec.pack_envelope(envelope), choice.agent.data)
--- a/src/siskinshift/configuration/validation.py
+++ b/src/siskinshift/configuration/validation.py
@@ -10,7 +10,7 @@
 
 from siskinshift.configuration.exceptions import InvalidChangeError
 from siskinshift.configuration.exceptions import NameTakenError
-from siskinshift.core.endpoints import PORT_MAXIMUM
+from siskinshift.core.endpoints import MAX_PORT
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.messages.core import Endpoint
 
@@ -153,8 +153,8 @@
         raise InvalidChangeError(
             f"address {address.host!r}: not the address of a single host"
         )
-    if not 1 <= address.port <= PORT_MAXIMUM:
-        raise InvalidChangeError(f"port {address.port}: allowed 1 to {PORT_MAXIMUM}")
+    if not 1 <= address.port <= MAX_PORT:
+        raise InvalidChangeError(f"port {address.port}: allowed 1 to {MAX_PORT}")
     return Endpoint(str(ip_address), address.port)
 
 
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -41,7 +41,7 @@
 from siskinshift.platform.packets import decode_from_caller
 from siskinshift.platform.packets import decode_from_upstream
 from siskinshift.runtime.event_loop import open_datagram_socket
-from siskinshift.runtime.http_server import HttpReply
+from siskinshift.runtime.http_server import ServerResponse
 
 
 if TYPE_CHECKING:
@@ -96,12 +96,12 @@
         self.evacuations = EvacuationRegister()
         outlet = settings.upstream_outlet
         self._upstream_socket = open_datagram_socket(outlet.host, outlet.port)
-        self.owns(self._upstream_socket.close)
+        self.add_cleanup(self._upstream_socket.close)
         self._upstream_address = (settings.upstream.host, settings.upstream.port)
         self._snapshot_upload = SnapshotUpload(
             member_id=settings.node_id, writer=self._choose_writer, log=self.log
         )
-        self.owns(self._snapshot_upload.close)
+        self.add_cleanup(self._snapshot_upload.close)
         self._snapshots = FlowSnapshotStore(
             store=self.store,
             member_id=settings.node_id,
@@ -244,21 +244,21 @@
         self._on_upstream_reachable()
         self.perform(self.flows.on_upstream_segment(segment, now=now))
 
-    def _handle_upstream_request(self, request: HttpRequest) -> HttpReply:
+    def _handle_upstream_request(self, request: HttpRequest) -> ServerResponse:
         try:
             message = decode_upstream_request(request)
         except BadMessageError as error:
             # The sender is not this instance's upstream and may send at any rate.
             self.log.decision("heartbeat refused", error=str(error), path=request.path)
-            return HttpReply(400)
+            return ServerResponse(400)
         if message is None:
-            return HttpReply(404)
+            return ServerResponse(404)
         # Acknowledged only once applied: balancers have been notified, and the agent
         # refuses new flows from now on if the upstream leaves.
         self.loop.call(lambda: self._on_upstream_message(message)).result(
             LOOP_CALL_TIMEOUT_SECONDS
         )
-        return HttpReply(200, ACKNOWLEDGEMENT)
+        return ServerResponse(200, ACKNOWLEDGEMENT)
 
     def _on_upstream_message(self, message: Heartbeat | Deregistration) -> None:
         now = self.clock()
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -25,7 +25,7 @@
 from siskinshift.connections.snapshot_writer import UNCHANGED_QUERY
 from siskinshift.connections.snapshot_writer import WRITE_TIMEOUT_SECONDS
 from siskinshift.connections.snapshot_writer import SnapshotWriter
-from siskinshift.control.documents import parse_table
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.messages.core import MemberState
 from siskinshift.messages.core import Role
@@ -38,7 +38,7 @@
 from siskinshift.platform.store import PlatformStore
 from siskinshift.runtime.event_loop import open_datagram_socket
 from siskinshift.runtime.http_client import HttpClient
-from siskinshift.runtime.http_server import HttpReply
+from siskinshift.runtime.http_server import ServerResponse
 
 
 if TYPE_CHECKING:
@@ -100,11 +100,11 @@
         self._caller_socket = open_datagram_socket(
             caller_packets.host, caller_packets.port
         )
-        self.owns(self._caller_socket.close)
+        self.add_cleanup(self._caller_socket.close)
         # Separate connections and a separate circuit breaker: failures to read the
         # configuration must not delay lease renewal or reading the members.
         configuration_store = PlatformStore(settings.store, stopping=self.stopping)
-        self.owns(configuration_store.close)
+        self.add_cleanup(configuration_store.close)
         self._follower = ConfigurationFollower(
             store=configuration_store,
             prefix=OPERATOR_KEY_PREFIX,
@@ -140,8 +140,8 @@
     def on_start(self) -> None:
         """Starts forwarding; it becomes ready with a configuration and ready agents."""
         super().on_start()
-        self.owns(self._follower.stop)
-        self.owns(self._cancel_fetch)
+        self.add_cleanup(self._follower.stop)
+        self.add_cleanup(self._cancel_fetch)
         self.spawn(self._follower.follow_until, self.stopping)
         self.spawn(self._snapshot_writer.write_until, self.stopping)
 
@@ -346,7 +346,7 @@
         is_due = self._catch_up.is_due(
             announced=peer.configuration_version,
             held=self.configuration_version,
-            last_progress_at=self._follower.transfer.moved_at,
+            last_progress_at=self._follower.transfer.last_received_at,
             is_failing=self._follower.is_failing,
             now=now,
         )
@@ -361,7 +361,7 @@
         try:
             # Before the configuration, with which the balancer starts placing flows.
             self._fetch_evacuations(client, source=peer_id)
-            response = client.call(
+            response = client.request(
                 "GET", CONFIGURATION_PATH, timeout=FETCH_TIMEOUT_SECONDS
             )
             if response.status == 200:
@@ -377,13 +377,15 @@
             self._is_fetching = False
 
     def _fetch_evacuations(self, client: HttpClient, *, source: str) -> None:
-        response = client.call("GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS)
+        response = client.request(
+            "GET", EVACUATIONS_PATH, timeout=FETCH_TIMEOUT_SECONDS
+        )
         if response.status != HTTPStatus.OK:
             # The peer runs an older version; the watch of the store continues.
             self.log.fact("no evacuations", peer=source, status=response.status)
             return
         try:
-            fetched = evacuations_from_document(parse_table(response.body))
+            fetched = evacuations_from_document(parse_object(response.body))
         except BadMessageError as error:
             self.log.fact("evacuations refused", peer=source, error=str(error))
             return
@@ -393,31 +395,31 @@
         if self._peer_client is not None:
             self._peer_client.close()
 
-    def handle_peer_request(self, request: HttpRequest) -> HttpReply:
+    def handle_peer_request(self, request: HttpRequest) -> ServerResponse:
         """Serves configuration and evacuations to peers, stores agents' snapshots."""
         if request.path == CONFIGURATION_PATH:
             value = self._configuration_value
-            return HttpReply(200, value) if value else HttpReply(503)
+            return ServerResponse(200, value) if value else ServerResponse(503)
         current = self.evacuations.current
         self.log.metrics.set_gauge("evacuated_domains", len(current.domains))
         self.log.metrics.set_gauge("evacuations_revision", current.revision)
         if request.path == EVACUATIONS_PATH:
-            return HttpReply(200, encode_evacuations(current))
+            return ServerResponse(200, encode_evacuations(current))
         if request.path.startswith(SNAPSHOT_PATH):
             return self._store_flow_snapshot(request)
         return super().handle_peer_request(request)
 
-    def _store_flow_snapshot(self, request: HttpRequest) -> HttpReply:
+    def _store_flow_snapshot(self, request: HttpRequest) -> ServerResponse:
         member_id = request.path.removeprefix(SNAPSHOT_PATH)
         if not 0 < len(member_id) <= MAX_MEMBER_ID_LENGTH:
             self.log.decision("flow list refused", reason="name", path=request.path)
-            return HttpReply(400)
+            return ServerResponse(400)
         is_unchanged = request.query == UNCHANGED_QUERY
         write = self._snapshot_writer.submit(
             member_id, request.body, is_unchanged=is_unchanged
         )
         try:
-            return HttpReply(200 if write.result(WRITE_TIMEOUT_SECONDS) else 503)
+            return ServerResponse(200 if write.result(WRITE_TIMEOUT_SECONDS) else 503)
         except TimeoutError:
             # The snapshot may still be written; the agent uploads it again.
-            return HttpReply(503)
+            return ServerResponse(503)
--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -23,7 +23,7 @@
     from siskinshift.kv.port import Entry
     from siskinshift.kv.port import Snapshot
     from siskinshift.observability.event_log import EventLog
-    from siskinshift.runtime.http_client import Transfer
+    from siskinshift.runtime.http_client import TransferProgress
 
 
 # A change must be in force within three seconds of the store's recovery.
@@ -51,7 +51,7 @@
     """A watch that reports the progress of its newest response."""
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """Progress of the newest response."""
 
 
@@ -59,7 +59,7 @@
     """The operations of a store that the follower needs; see KeyValueStore."""
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """Progress of the newest response to a read."""
 
     def list_prefix(self, prefix: str) -> Snapshot:
@@ -115,7 +115,7 @@
             watch.close()
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """Progress of the newest response; may be read on other threads."""
         watch = self._watch
         return self._store.transfer if watch is None else watch.transfer
@@ -186,7 +186,7 @@
             if not self._is_behind or stopping.is_set():
                 return snapshot.revision
 
-    def _handle_entry(self, entry: Entry, transfer: Transfer) -> None:
+    def _handle_entry(self, entry: Entry, transfer: TransferProgress) -> None:
         self._read_revision = entry.revision
         reading = ConfigurationReading(entry.value, seconds=transfer.seconds)
         self._on_reading(reading)
--- a/src/siskinshift/connections/evacuations.py
+++ b/src/siskinshift/connections/evacuations.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import whole_of
+from siskinshift.control.documents import get_integer
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -112,7 +112,7 @@
         raise BadMessageError("domains: not a list, or too many entries")
     if not all(isinstance(d, str) and is_domain_name(d) for d in domains):
         raise BadMessageError("domains: not all entries are valid names")
-    revision = whole_of(document, "revision", maximum=MAX_REVISION)
+    revision = get_integer(document, "revision", maximum=MAX_REVISION)
     return Evacuations(revision, frozenset(domains))
 
 
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -40,8 +40,8 @@
 from siskinshift.platform.store import PlatformStore
 from siskinshift.runtime.event_loop import EventLoop
 from siskinshift.runtime.event_loop import open_datagram_socket
-from siskinshift.runtime.http_server import HttpReply
 from siskinshift.runtime.http_server import HttpServer
+from siskinshift.runtime.http_server import ServerResponse
 from siskinshift.runtime.life_cycle import LifeCycle
 from siskinshift.settings.exceptions import SettingsError
 
@@ -88,7 +88,7 @@
         self.random = Random()
         self.clock = monotonic_clock
         self.log = EventLog(process=settings.node_id, clock=self.clock)
-        self.owns(self.log.write)
+        self.add_cleanup(self.log.write)
         self.spawn(self.log.write_until, self.stopping)
         self.loop = EventLoop(clock=self.clock, log=self.log)
         own = Endpoint(settings.host, settings.peer_port)
@@ -107,9 +107,9 @@
         self.fleet = Fleet(self.member, now=self.clock())
         self._discovery = PeerDiscovery(self.fleet, own=self.member)
         self.peer_socket = open_datagram_socket(settings.host, settings.peer_port)
-        self.owns(self.peer_socket.close)
+        self.add_cleanup(self.peer_socket.close)
         self.store = PlatformStore(settings.store, stopping=self.stopping)
-        self.owns(self.store.close)
+        self.add_cleanup(self.store.close)
         self._registration = Registration(
             store=self.store,
             own=lambda: self.member,
@@ -142,7 +142,7 @@
 
     def add_sockets(self) -> None:
         """Adds the node's sockets and timers to its event loop."""
-        self.loop.add_socket(self.peer_socket, self._on_peer_datagram, is_last=True)
+        self.loop.add_socket(self.peer_socket, self._on_peer_datagram, read_last=True)
         self.loop.add_timer(self._tick)
 
     def run(self) -> None:
@@ -160,7 +160,7 @@
             handler: Handler of the requests.
         """
         server = HttpServer(self, endpoint.host, endpoint.port, handler, log=self.log)
-        self.owns(server.close)
+        self.add_cleanup(server.close)
         server.start()
 
     def on_stop(self) -> None:
@@ -471,7 +471,7 @@
         while not self.stopping.is_set():
             self.stopping.wait(self._registration.step(now=self.clock()))
 
-    def handle_peer_request(self, request: HttpRequest) -> HttpReply:
+    def handle_peer_request(self, request: HttpRequest) -> ServerResponse:
         """Handles HTTP requests of peers and of the metrics collector.
 
         Args:
@@ -481,19 +481,19 @@
             The response.
         """
         if request.path != METRICS_PATH:
-            return HttpReply(404)
+            return ServerResponse(404)
         metrics = self.log.metrics
         metrics.set_gauge("flows", self.load.flows)
         metrics.set_gauge("requests_running", self.load.running)
         metrics.set_gauge("peers", len(self.fleet.peers_by_id))
         metrics.set_gauge("configuration_version", self.configuration_version)
         metrics.set_gauge("log_lines_dropped", self.log.dropped)
-        return HttpReply(200, metrics.render().encode(), METRICS_TYPE)
+        return ServerResponse(200, metrics.render().encode(), METRICS_TYPE)
 
-    def _answer_readiness(self, request: HttpRequest) -> HttpReply:
+    def _answer_readiness(self, request: HttpRequest) -> ServerResponse:
         if request.path != READINESS_PATH:
-            return HttpReply(404)
-        return HttpReply(200 if self.is_ready else 503)
+            return ServerResponse(404)
+        return ServerResponse(200 if self.is_ready else 503)
 
     def _on_stop_signal(self) -> None:
         if self.is_leaving:
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -64,7 +64,7 @@
         is_stored = is_unchanged and endpoint == self._endpoint
         target = f"{self._path}?{UNCHANGED_QUERY}" if is_stored else self._path
         try:
-            response = client.call(
+            response = client.request(
                 "POST", target, value, timeout=RESPONSE_TIMEOUT_SECONDS
             )
         except OSError as error:
--- a/src/siskinshift/core/endpoints.py
+++ b/src/siskinshift/core/endpoints.py
@@ -1,4 +1,4 @@
-"""Reading and writing of endpoints."""
+"""Parses and formats endpoints."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from siskinshift.messages.core import Endpoint
 
 
-PORT_MAXIMUM = 65535
+MAX_PORT = 65535
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Reads "IP:port"; an IPv6 number stands in brackets.
+    """Parses "IP:port"; an IPv6 address is enclosed in brackets.
 
     Args:
-        text: The endpoint as text.
+        text: Text form of the endpoint.
 
     Returns:
         The endpoint.
 
     Raises:
-        ValueError: The text is no endpoint; the message says what is allowed.
+        ValueError: The text is not an endpoint; the message names the allowed form.
     """
     host, _, port_text = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -29,19 +29,19 @@
         port = int(port_text)
     except ValueError as error:
         raise ValueError("allowed: an IP number, a colon and a port") from error
-    if not 0 <= port <= PORT_MAXIMUM:
-        raise ValueError(f"allowed: a port from 0 to {PORT_MAXIMUM}")
+    if not 0 <= port <= MAX_PORT:
+        raise ValueError(f"allowed: a port from 0 to {MAX_PORT}")
     return Endpoint(host=host, port=port)
 
 
 def format_endpoint(endpoint: Endpoint) -> str:
-    """Writes an endpoint as `parse_endpoint` reads it.
+    """Formats an endpoint in the form that `parse_endpoint` reads.
 
     Args:
         endpoint: The endpoint.
 
     Returns:
-        Its text.
+        Text form of the endpoint.
     """
     if ":" in endpoint.host:
         return f"[{endpoint.host}]:{endpoint.port}"
--- a/src/siskinshift/kv/transport.py
+++ b/src/siskinshift/kv/transport.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from siskinshift.core.http import HttpAnswer
+from siskinshift.core.http import HttpResponse
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
 
@@ -41,7 +41,7 @@
 class EtcdTransport(Protocol):
     """Sends requests to the store."""
 
-    def post(self, path: str, body: bytes) -> HttpAnswer:
+    def post(self, path: str, body: bytes) -> HttpResponse:
         """Sends a request and returns its response.
 
         Raises:
@@ -65,14 +65,14 @@
         self._settings = settings
         self._endpoint_index = 0
 
-    def post(self, path: str, body: bytes) -> HttpAnswer:
+    def post(self, path: str, body: bytes) -> HttpResponse:
         """Sends a request; see EtcdTransport."""
         deadline = time.monotonic() + self._settings.timeout
         connection = self._connect()
         try:
             connection.request("POST", path, body=body)
             response = connection.getresponse()
-            return HttpAnswer(response.status, _read_body(response, deadline))
+            return HttpResponse(response.status, _read_body(response, deadline))
         except (OSError, http.client.HTTPException) as error:
             self._endpoint_index += 1
             raise StoreOutcomeUnknownError(f"response lost: {error}") from error
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -96,7 +96,7 @@
             on_result=self._on_result,
         )
         for message_type, path in PATHS_BY_MESSAGE_TYPE.items():
-            routes.handles(path, message_type)(self._handler(path))
+            routes.route(path, message_type)(self._handler(path))
 
     @property
     def own(self) -> Member:
@@ -105,7 +105,7 @@
 
     def start(self) -> None:
         """Starts the task that sends messages when they are due."""
-        self._application.owns(self._announce_shutdown)
+        self._application.add_cleanup(self._announce_shutdown)
         self._application.spawn(self._run)
 
     def change_own(self, *, state: MemberState, weight: int) -> None:
@@ -213,7 +213,7 @@
 
         Otherwise they would detect it only by their failure timeout.
         """
-        if self._application.is_abandoned:
+        if self._application.is_aborted:
             return
         with self._condition:
             self._participant.change_own(
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -12,12 +12,12 @@
 from siskinshift.connections.routes import RouteTable
 from siskinshift.connections.routes import Target
 from siskinshift.connections.segment import pack_service_address
-from siskinshift.control.documents import number_of
-from siskinshift.control.documents import parse_table
-from siskinshift.control.documents import rows_of
-from siskinshift.control.documents import table_of
-from siskinshift.control.documents import text_of
-from siskinshift.control.documents import whole_of
+from siskinshift.control.documents import get_integer
+from siskinshift.control.documents import get_number
+from siskinshift.control.documents import get_object
+from siskinshift.control.documents import get_objects
+from siskinshift.control.documents import get_string
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -48,17 +48,17 @@
     Raises:
         BadMessageError: It is malformed. A configuration is never applied in part.
     """
-    document = parse_table(value)
-    routes = [_decode_route(route) for route in rows_of(document, "routes")]
-    services = rows_of(document, "services")
-    limits = table_of(document, "limits")
+    document = parse_object(value)
+    routes = [_decode_route(route) for route in get_objects(document, "routes")]
+    services = get_objects(document, "services")
+    limits = get_object(document, "limits")
     return RouteTable(
-        version=whole_of(document, "version", maximum=MAX_VERSION),
+        version=get_integer(document, "version", maximum=MAX_VERSION),
         routes_by_address=MappingProxyType({route.address: route for route in routes}),
         idle_timeout=_decode_seconds(limits, "idle-timeout-ms"),
         health_paths_by_service=MappingProxyType(
             {
-                text_of(service, "name"): text_of(service, "health-path")
+                get_string(service, "name"): get_string(service, "health-path")
                 for service in services
             }
         ),
@@ -69,7 +69,7 @@
 def _decode_warm_up_rates(services: list[dict[str, Any]]) -> Mapping[str, float]:
     """Decodes the rates; a missing rate or 0 means no limit."""
     rates_by_service = {
-        text_of(service, "name"): number_of(
+        get_string(service, "name"): get_number(
             service, "warmup-per-s", maximum=MAX_WARM_UP_RATE
         )
         for service in services
@@ -82,21 +82,21 @@
 
 def _decode_route(route: dict[str, Any]) -> ConnectionRoute:
     return ConnectionRoute(
-        name=text_of(route, "name"),
+        name=get_string(route, "name"),
         address=_decode_address(route),
         targets=_decode_targets(route),
         terms=RequestParameters(
             objective=_decode_seconds(route, "target-latency-ms"),
             deadline=_decode_seconds(route, "timeout-ms"),
-            urgency=whole_of(route, "priority"),
+            urgency=get_integer(route, "priority"),
         ),
-        is_single_request=text_of(route, "type") == DOWNLOAD_TYPE,
+        is_single_request=get_string(route, "type") == DOWNLOAD_TYPE,
     )
 
 
 def _decode_address(route: dict[str, Any]) -> bytes:
     # The field "prefix" of a route has the port between slashes.
-    host, port = text_of(route, "host"), text_of(route, "prefix").strip("/")
+    host, port = get_string(route, "host"), get_string(route, "prefix").strip("/")
     try:
         return pack_service_address(host, int(port))
     except (OSError, OverflowError, ValueError) as error:
@@ -104,15 +104,18 @@
 
 
 def _decode_seconds(table: dict[str, Any], name: str) -> float:
-    return number_of(table, name, maximum=MAX_DURATION_MS) / MILLISECONDS_PER_SECOND
+    return get_number(table, name, maximum=MAX_DURATION_MS) / MILLISECONDS_PER_SECOND
 
 
 def _decode_targets(route: dict[str, Any]) -> tuple[Target, ...]:
     if not route.get("traffic-split"):
-        return (Target(text_of(route, "service"), 1),)
+        return (Target(get_string(route, "service"), 1),)
     targets = [
-        Target(text_of(split, "service"), whole_of(split, "weight", maximum=MAX_WEIGHT))
-        for split in rows_of(route, "traffic-split")
+        Target(
+            get_string(split, "service"),
+            get_integer(split, "weight", maximum=MAX_WEIGHT),
+        )
+        for split in get_objects(route, "traffic-split")
     ]
     targets = [target for target in targets if target.weight]
     if not targets:
--- a/src/siskinshift/platform/heartbeats.py
+++ b/src/siskinshift/platform/heartbeats.py
@@ -9,10 +9,10 @@
 from siskinshift.connections.member_documents import MAX_SLOTS
 from siskinshift.connections.upstream_state import Deregistration
 from siskinshift.connections.upstream_state import Heartbeat
-from siskinshift.control.documents import number_of
-from siskinshift.control.documents import parse_table
-from siskinshift.control.documents import text_of
-from siskinshift.control.documents import whole_of
+from siskinshift.control.documents import get_integer
+from siskinshift.control.documents import get_number
+from siskinshift.control.documents import get_string
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 
 
@@ -48,33 +48,33 @@
         return None
     if request.path.startswith(_DEREGISTRATION_PATH):
         # The body of a deregistration is optional.
-        body = parse_table(request.body) if request.body else {}
+        body = parse_object(request.body) if request.body else {}
         return Deregistration(
             _decode_incarnation(request.path[len(_DEREGISTRATION_PATH) :], body)
         )
     if request.path.startswith(_HEARTBEAT_PATH):
-        body = parse_table(request.body)
+        body = parse_object(request.body)
         return _decode_heartbeat(request.path[len(_HEARTBEAT_PATH) :], body)
     return None
 
 
 def _decode_heartbeat(upstream_id: str, body: dict[str, Any]) -> Heartbeat:
-    state = text_of(body, "state")
+    state = get_string(body, "state")
     if state not in _IS_LEAVING_BY_STATE:
         raise BadMessageError(f"state: {state!r}; allowed: ready, draining")
-    cold_ms = number_of(body, "warmup-left-ms", maximum=MAX_COLD_MS)
+    cold_ms = get_number(body, "warmup-left-ms", maximum=MAX_COLD_MS)
     return Heartbeat(
         incarnation=_decode_incarnation(upstream_id, body),
-        service_id=text_of(body, "service"),
-        sequence=whole_of(body, "seq"),
-        slots=whole_of(body, "capacity", minimum=1, maximum=MAX_SLOTS),
+        service_id=get_string(body, "service"),
+        sequence=get_integer(body, "seq"),
+        slots=get_integer(body, "capacity", minimum=1, maximum=MAX_SLOTS),
         is_leaving=_IS_LEAVING_BY_STATE[state],
         cold_seconds=cold_ms / MILLISECONDS_PER_SECOND,
     )
 
 
 def _decode_incarnation(upstream_id: str, body: dict[str, Any]) -> Incarnation:
-    text_of({"id": upstream_id}, "id")
+    get_string({"id": upstream_id}, "id")
     # `born` is the start time of the upstream's process. Some upstreams omit it.
-    started_ms = whole_of(body, "born") if "born" in body else None
+    started_ms = get_integer(body, "born") if "born" in body else None
     return Incarnation(upstream_id, started_ms)
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -15,10 +15,10 @@
 from attrs import define
 
 from siskinshift.control.documents import encode_json
-from siskinshift.control.documents import parse_table
-from siskinshift.control.documents import rows_of
-from siskinshift.control.documents import text_of
-from siskinshift.control.documents import whole_of
+from siskinshift.control.documents import get_integer
+from siskinshift.control.documents import get_objects
+from siskinshift.control.documents import get_string
+from siskinshift.control.documents import parse_object
 from siskinshift.control.exceptions import BadMessageError
 from siskinshift.core.clocks import monotonic_clock
 from siskinshift.kv.exceptions import StoreCompactedError
@@ -33,10 +33,10 @@
 from siskinshift.kv.port import Snapshot
 from siskinshift.kv.port import TransactionResult
 from siskinshift.kv.port import WatchBatch
-from siskinshift.runtime.http_client import AnswerLostError
-from siskinshift.runtime.http_client import CallNotSentError
 from siskinshift.runtime.http_client import HttpClient
-from siskinshift.runtime.http_client import lengthened
+from siskinshift.runtime.http_client import RequestNotSentError
+from siskinshift.runtime.http_client import ResponseLostError
+from siskinshift.runtime.http_client import extend_timeout
 
 
 if TYPE_CHECKING:
@@ -44,10 +44,10 @@
 
     from siskinshift.connections.node_settings import StoreSettings
     from siskinshift.core.clocks import Clock
-    from siskinshift.core.http import HttpAnswer
+    from siskinshift.core.http import HttpResponse
     from siskinshift.kv.port import Compare
     from siskinshift.kv.port import Operation
-    from siskinshift.runtime.http_client import Transfer
+    from siskinshift.runtime.http_client import TransferProgress
 
 
 # The store responds in 4 ms, and in sixty times that during its slowest observed
@@ -122,7 +122,7 @@
         self._read_connection = _Connection(self._new_client())
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """Progress of the latest response to a read."""
         return self._read_connection.client.transfer
 
@@ -193,7 +193,7 @@
             raise StoreUnavailableError("no such lease")
         document = _decode_document(response)
         try:
-            revision = whole_of(document, "revision")
+            revision = get_integer(document, "revision")
         except BadMessageError as error:
             # The transaction was applied; the caller has to read its result.
             raise StoreOutcomeUnknownError("malformed response") from error
@@ -206,8 +206,8 @@
         document = _decode_document(self._request("POST", "/kv-lease", body))
         try:
             return Lease(
-                whole_of(document, "lease", minimum=1),
-                whole_of(document, "ttl-ms") / MILLISECONDS_PER_SECOND,
+                get_integer(document, "lease", minimum=1),
+                get_integer(document, "ttl-ms") / MILLISECONDS_PER_SECOND,
             )
         except MALFORMED_ERRORS as error:
             raise StoreUnavailableError("malformed response") from error
@@ -219,7 +219,8 @@
             return 0.0
         try:
             return (
-                whole_of(_decode_document(response), "ttl-ms") / MILLISECONDS_PER_SECOND
+                get_integer(_decode_document(response), "ttl-ms")
+                / MILLISECONDS_PER_SECOND
             )
         except MALFORMED_ERRORS as error:
             raise StoreUnavailableError("malformed response") from error
@@ -257,8 +258,10 @@
             response = self._read("/kv-range?" + urlencode(query))
             document = _decode_document(response)
             try:
-                entries += [_decode_entry(item) for item in rows_of(document, "items")]
-                revision = revision or whole_of(document, "as-of")
+                entries += [
+                    _decode_entry(item) for item in get_objects(document, "items")
+                ]
+                revision = revision or get_integer(document, "as-of")
                 has_more = document["has-more"] is True
             except MALFORMED_ERRORS as error:
                 raise StoreUnavailableError("malformed response") from error
@@ -266,19 +269,19 @@
                 return Snapshot(tuple(entries), revision)
             query["after"] = entries[-1].key
 
-    def _read(self, target: str) -> HttpAnswer:
+    def _read(self, target: str) -> HttpResponse:
         return self._send_idempotent(self._read_connection, "GET", target, b"")
 
-    def _request(self, method: str, target: str, body: object = None) -> HttpAnswer:
+    def _request(self, method: str, target: str, body: object = None) -> HttpResponse:
         data = b"" if body is None else encode_json(body)
         return self._send_idempotent(self._write_connection, method, target, data)
 
-    def _write(self, method: str, target: str, body: object) -> HttpAnswer:
+    def _write(self, method: str, target: str, body: object) -> HttpResponse:
         return self._send(self._write_connection, method, target, encode_json(body))
 
     def _send_idempotent(
         self, connection: _Connection, method: str, target: str, body: bytes
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         # An idempotent request may be repeated, so an unknown outcome counts as
         # unavailable.
         try:
@@ -288,10 +291,10 @@
 
     def _send(
         self, connection: _Connection, method: str, target: str, body: bytes
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         with connection.lock:
             self._admit()
-            timeout = lengthened(CALL_TIMEOUT_SECONDS, failures=connection.failures)
+            timeout = extend_timeout(CALL_TIMEOUT_SECONDS, failures=connection.failures)
             try:
                 response = self.exchange(
                     connection.client, method, target, body, timeout=timeout
@@ -310,7 +313,7 @@
         body: bytes,
         *,
         timeout: float,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Sends an admitted request and reports its result to the guard.
 
         Args:
@@ -328,11 +331,11 @@
             StoreOutcomeUnknownError: The request may have taken effect.
         """
         try:
-            response = client.call(method, target, body, timeout=timeout)
-        except CallNotSentError as error:
+            response = client.request(method, target, body, timeout=timeout)
+        except RequestNotSentError as error:
             self._guard.record_failure(now=self._clock())
             raise StoreUnavailableError(f"unreachable: {error}") from error
-        except AnswerLostError as error:
+        except ResponseLostError as error:
             self._guard.record_failure(now=self._clock())
             raise StoreOutcomeUnknownError(f"response lost: {error}") from error
         if response.status in (
@@ -393,7 +396,7 @@
             yield self._poll("/kv-watch?" + query)
 
     @property
-    def transfer(self) -> Transfer:
+    def transfer(self) -> TransferProgress:
         """Progress of the latest response."""
         return self._client.transfer
 
@@ -416,14 +419,14 @@
             raise StoreCompactedError("the start revision was compacted")
         document = _decode_document(response)
         try:
-            events = rows_of(document, "events")
-            self._revision = max(self._revision, whole_of(document, "as-of"))
+            events = get_objects(document, "events")
+            self._revision = max(self._revision, get_integer(document, "as-of"))
             return WatchBatch(
                 entries=tuple(
                     _decode_entry(event) for event in events if not event.get("removed")
                 ),
                 deleted_keys=tuple(
-                    text_of(event, "key") for event in events if event.get("removed")
+                    get_string(event, "key") for event in events if event.get("removed")
                 ),
                 revision=self._revision,
             )
@@ -431,11 +434,11 @@
             raise StoreUnavailableError("malformed response") from error
 
 
-def _decode_document(response: HttpAnswer) -> dict[str, Any]:
+def _decode_document(response: HttpResponse) -> dict[str, Any]:
     if response.status != HTTPStatus.OK:
         raise StoreUnavailableError(f"refused with status {response.status}")
     try:
-        return parse_table(response.body)
+        return parse_object(response.body)
     except BadMessageError as error:
         raise StoreUnavailableError("response is not a JSON object") from error
 
@@ -443,9 +446,9 @@
 def _decode_entry(item: dict[str, Any]) -> Entry:
     try:
         return Entry(
-            key=text_of(item, "key"),
+            key=get_string(item, "key"),
             value=base64.b64decode(item["value"], validate=True),
-            revision=whole_of(item, "revision"),
+            revision=get_integer(item, "revision"),
         )
     except MALFORMED_ERRORS as error:
         raise StoreUnavailableError("malformed entry") from error
--- a/src/siskinshift/routing/chooser.py
+++ b/src/siskinshift/routing/chooser.py
@@ -54,11 +54,11 @@
     tables_by_service: dict[str, BucketTable]
     stale_tables_by_service: dict[str, BucketTable]
 
-    def table_of(self, service: Service) -> BucketTable:
+    def get_object(self, service: Service) -> BucketTable:
         table = self.tables_by_service.get(service.service_id)
         if table is None:
             table = build_bucket_table(
-                self.view.placeable_agents_of(service),
+                self.view.eligible_agents_of(service),
                 self.stale_tables_by_service.get(service.service_id),
             )
             self.tables_by_service[service.service_id] = table
@@ -98,7 +98,7 @@
             if service_id not in old.tables_by_service:
                 new.stale_tables_by_service[service_id] = table
             elif _is_unchanged(service, old.view, view) or _has_same_agents(
-                table.agents, view.placeable_agents_of(service)
+                table.agents, view.eligible_agents_of(service)
             ):
                 new.tables_by_service[service_id] = table
             else:
@@ -124,12 +124,12 @@
         hash_value = flow_hash(
             caller=packet.caller, service_address=packet.service_address
         )
-        agent = tables.table_of(service).primary_of(bucket_of(hash_value))
+        agent = tables.get_object(service).primary_of(bucket_of(hash_value))
         if agent is None:
             return DropPacket(ErrorKind.NO_MEMBER)
         return SendTo(agent)
 
-    def table_of(self, service: Service) -> BucketTable:
+    def get_object(self, service: Service) -> BucketTable:
         """Returns the bucket table of a service, built on first use.
 
         Args:
@@ -139,7 +139,7 @@
             Its table.
         """
         assert self._tables is not None
-        return self._tables.table_of(service)
+        return self._tables.get_object(service)
 
 
 def _is_unchanged(service: Service, old_view: View, view: View) -> bool:
