--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# One environment for each locked set of dependencies, shared by all checkouts.
+# All checkouts share one environment per locked set of dependencies.
 CACHE ?= $(or $(XDG_CACHE_HOME),$(HOME)/.cache)/siskinshift
 LOCK_HASH := $(shell sha256sum requirements.lock | cut -c1-12)
 VENV := $(CACHE)/venv-$(LOCK_HASH)
