--- a/src/siskinshift/bench/dataplane.py
+++ b/src/siskinshift/bench/dataplane.py
@@ -21,7 +21,7 @@
 from siskinshift.bench.dataplane_decisions import table_memory
 from siskinshift.bench.dataplane_paths import path_rows
 from siskinshift.bench.dataplane_paths import socket_memory
-from siskinshift.bench.flow_network import VIEW_DELAY_MAXIMUM
+from siskinshift.bench.flow_network import MAX_VIEW_DELAY_SECONDS
 from siskinshift.core.keyring import KeyRing
 from siskinshift.settings.loader import SettingsLoader
 
@@ -52,7 +52,7 @@
     settings = SettingsLoader(source="bench").load(SETTINGS_TEXT)
     # Views spread slowly and unevenly here, as in the fuzzing; see there.
     slow_views = attrs.evolve(
-        settings.flows, settle_delay=VIEW_DELAY_MAXIMUM + 0.5, held_timeout=8.0
+        settings.flows, settle_delay=MAX_VIEW_DELAY_SECONDS + 0.5, held_timeout=8.0
     )
     descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - SPARE_DESCRIPTORS
     socket_counts = tuple(count for count in FLOW_COUNTS if count <= descriptors)
