--- a/src/siskinshift/bench/dataplane_breaks.py
+++ b/src/siskinshift/bench/dataplane_breaks.py
@@ -134,7 +134,7 @@
     """Sends of random flows between single news and messages, in random order."""
     draw = network.random
     for _ in range(400):
-        network.deliver_news(draw.randrange(1 << 16))
+        network.deliver_update(draw.randrange(1 << 16))
         network.send(draw.choice(network.flows))
         for _ in range(3):
             network.deliver(draw.randrange(1 << 16))
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -434,7 +434,7 @@
         if self.messages:
             self.messages.pop(index % len(self.messages))
 
-    def deliver_news(self, index: int) -> None:
+    def deliver_update(self, index: int) -> None:
         """Delivers news of a member.
 
         Args:
