--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -425,7 +425,7 @@
             actions = node.router.on_notes(message.content, now=self.now)
         self._carry_out(node, actions)
 
-    def lose(self, index: int) -> None:
+    def drop_message(self, index: int) -> None:
         """Loses a message.
 
         Args:
