--- a/src/siskinshift/bench/dataplane_breaks.py
+++ b/src/siskinshift/bench/dataplane_breaks.py
@@ -107,7 +107,7 @@
             _traffic_while_views_spread(network)
         network.drain(leaving)
     else:
-        network.die(leaving)
+        network.crash(leaving)
     _traffic_while_views_spread(network)
     network.settle(SETTLE_SECONDS)
     _send_to_all(network)
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -314,7 +314,7 @@
         self._end_node(member_id)
         self._announce_gone(member_id, delay=0.0)
 
-    def die(self, member_id: str) -> None:
+    def crash(self, member_id: str) -> None:
         """Ends an agent without a word; peers hear of it later.
 
         Args:
