--- a/src/siskinshift/bench/dataplane_breaks.py
+++ b/src/siskinshift/bench/dataplane_breaks.py
@@ -109,7 +109,7 @@
     else:
         network.crash(leaving)
     _traffic_while_views_spread(network)
-    network.settle(SETTLE_SECONDS)
+    network.converge(SETTLE_SECONDS)
     _send_to_all(network)
     broken = len(network.planned_breaks)
     most = max(
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -248,7 +248,7 @@
                 self.join(name)
         if together:
             self._tell_all()
-        self.settle()
+        self.converge()
 
     # Events.
 
@@ -458,7 +458,7 @@
                 if node.router is not None and not node.paused:
                     self._carry_out(node, node.router.tick(now=self.now))
 
-    def settle(self, seconds: float = 40.0) -> None:
+    def converge(self, seconds: float = 40.0) -> None:
         """Delivers everything in order, without loss, while time passes.
 
         Args:
@@ -548,7 +548,7 @@
         Raises:
             AssertionError: A flow is not served, or an agent keeps something.
         """
-        self.settle()
+        self.converge()
         balancer_ids = [n for n in self.nodes_by_id if n.startswith("balancer")]
         for flow in self.flows:
             if self._live_owner(flow) is None or flow.contested:
@@ -566,7 +566,7 @@
             self.end_flow(flow)
             if flow.contested:
                 self._end_everywhere(flow)
-        self.settle(60.0)
+        self.converge(60.0)
         for member_id in self.agents():
             router = self.router_of(member_id)
             counts = (router.flow_count, router.note_count, router.held_count)
