--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -182,7 +182,7 @@
         misdelivered: Datagrams handed to another service.
         delivered: Datagrams handed to upstreams.
         created: Flows that began.
-        hops_maximum: Most hops of a datagram.
+        max_hop_count: Most hops of a datagram.
         notes_sent: Hand-over messages.
         notes_bytes_by_sender: Bytes of hand-over messages by sender, when `sizes` was
             given.
@@ -230,7 +230,7 @@
         self.misdelivered = 0
         self.delivered = 0
         self.created = 0
-        self.hops_maximum = 0
+        self.max_hop_count = 0
         self.notes_sent = 0
         self.notes_bytes = 0
         self.notes_bytes_by_sender: dict[str, int] = {}
@@ -419,7 +419,7 @@
         if node is None or node.router is None or node.paused:
             return
         if isinstance(message.content, Envelope):
-            self.hops_maximum = max(self.hops_maximum, message.content.hop_count)
+            self.max_hop_count = max(self.max_hop_count, message.content.hop_count)
             actions = node.router.on_envelope(message.content, now=self.now)
         else:
             actions = node.router.on_notes(message.content, now=self.now)
