--- a/src/siskinshift/bench/dataplane_breaks.py
+++ b/src/siskinshift/bench/dataplane_breaks.py
@@ -89,7 +89,7 @@
     )
     for _ in range(flows):
         network.open_flow(SERVICE)
-        network.drain_messages()
+        network.deliver_all()
     return network
 
 
@@ -144,7 +144,7 @@
 def _send_to_all(network: FlowNetwork) -> None:
     for flow in network.flows:
         network.send(flow)
-        network.drain_messages()
+        network.deliver_all()
 
 
 def _without_hand_over(way: str, event: str, agents: int, flows_each: int) -> BreakRow:
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -468,10 +468,10 @@
         while self.now < until:
             for news in [n for n in self.pending_updates if n.sent_at <= self.now]:
                 self._take_news_for(news)
-            self.drain_messages()
+            self.deliver_all()
             self.advance(TICK_SECONDS)
 
-    def drain_messages(self) -> None:
+    def deliver_all(self) -> None:
         """Delivers messages until none is left.
 
         Raises:
@@ -557,11 +557,11 @@
             for balancer_id in balancer_ids:
                 before = self.delivered
                 self.send(flow, balancer_id)
-                self.drain_messages()
+                self.deliver_all()
                 assert self.delivered == before + 1, f"{flow} is not served"
         for service in self.services_by_id.values():
             flow = self.open_flow(service.service_id)
-            self.drain_messages()
+            self.deliver_all()
             assert flow.owner is not None, "a new flow is not taken"
         for flow in self.flows:
             self.end_flow(flow)
