--- a/src/siskinshift/bench/dataplane_breaks.py
+++ b/src/siskinshift/bench/dataplane_breaks.py
@@ -84,8 +84,8 @@
         agents_by_class={SERVICE: agents},
         balancers=BALANCERS,
         random=random.Random(SEED),
-        sizes=True,
-        together=True,
+        count_bytes=True,
+        with_full_views=True,
     )
     for _ in range(flows):
         network.open_flow(SERVICE)
