--- a/src/siskinshift/bench/load_agents.py
+++ b/src/siskinshift/bench/load_agents.py
@@ -56,7 +56,7 @@
     """All agents of one service."""
 
     def submit(self, request: ModelRequest) -> None:
-        """Takes a request that arrives at its home."""
+        """Takes a request that arrives at its owner."""
 
 
 class FirstInFirstOutAgents:
@@ -78,7 +78,7 @@
             size: The service.
             scenario: What goes wrong.
             bound: Requests that may wait at an agent; None for no limit.
-            in_turn: Whether requests go to the agents in turn, not to their homes.
+            in_turn: Whether requests go to the agents in turn, not to their owners.
         """
         self._loop = loop
         self._size = size
@@ -95,7 +95,7 @@
 
     def submit(self, request: ModelRequest) -> None:
         """Takes a request."""
-        agent = request.home
+        agent = request.owner
         if self._in_turn:
             agent = self._next
             self._next = (self._next + 1) % self._size.agents
@@ -169,7 +169,7 @@
     def submit(self, request: ModelRequest) -> None:
         """Takes a request."""
         self._requests_by_id[request.request_id] = request
-        actions = self.gates[request.home].submit(
+        actions = self.gates[request.owner].submit(
             Request(
                 request_id=request.request_id,
                 service_id=self._size.name,
@@ -182,7 +182,7 @@
             ),
             now=self._loop.now,
         )
-        self._carry_out(request.home, actions)
+        self._carry_out(request.owner, actions)
 
     def _gate(self, index: int, *, ramp_time: float) -> LoadGate:
         gate = LoadGate(
--- a/src/siskinshift/bench/load_model.py
+++ b/src/siskinshift/bench/load_model.py
@@ -71,7 +71,7 @@
         request_id: Number.
         group_id: Its group.
         caller: Its caller's IP number.
-        home: Index of the agent that owns its flow.
+        owner: Index of the agent that owns its flow.
         arrived_at: Model time of arrival, seconds.
         service_time: Seconds in a slot of a well upstream.
         deadline: Model time after which the answer is of no use.
@@ -86,7 +86,7 @@
     request_id: int
     group_id: str
     caller: str
-    home: int
+    owner: int
     arrived_at: float
     service_time: float
     deadline: float
--- a/src/siskinshift/bench/load_scenarios.py
+++ b/src/siskinshift/bench/load_scenarios.py
@@ -301,7 +301,7 @@
         request_id=0,
         group_id=phase.group_id,
         caller=f"10.0.{len(phase.group_id)}.{caller}",
-        home=homes[flow],
+        owner=homes[flow],
         arrived_at=now,
         service_time=service_time,
         deadline=now + size.patience,
