--- a/src/siskinshift/bench/telemetry.py
+++ b/src/siskinshift/bench/telemetry.py
@@ -18,7 +18,7 @@
 
 from siskinshift.bench.dataplane_paths import Callers
 from siskinshift.bench.dataplane_paths import thread_seconds
-from siskinshift.bench.dataplane_paths import wait_for_answers
+from siskinshift.bench.dataplane_paths import wait_for_replies
 from siskinshift.core.endpoints import format_endpoint
 from siskinshift.demo.deployment import Deployment
 from siskinshift.demo.deployment import ServicePlan
@@ -115,7 +115,7 @@
             for is_on, deployment in ((False, plain), (True, metered))
         }
         for one in callers.values():
-            wait_for_answers(one)
+            wait_for_replies(one)
         for number in range(2 * ROUNDS):
             is_on = number % 2 == 1
             used, own = _round(callers[is_on], scraper, plain, is_on)
