--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -629,8 +629,8 @@
             return
         size = len(encode_message(to_differences(notes)))
         self.notes_bytes += size
-        known = self.notes_bytes_by_sender.get(sender_id, 0)
-        self.notes_bytes_by_sender[sender_id] = known + size
+        previous = self.notes_bytes_by_sender.get(sender_id, 0)
+        self.notes_bytes_by_sender[sender_id] = previous + size
 
     def _add_node(self, node_id: str, router: FlowRouter | None) -> Node:
         node = Node(node_id, router, AgentChooser())
