--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -171,7 +171,7 @@
         """Starts to leave: not ready once its domain has enough other balancers."""
         self._departure = GracefulShutdown(
             started_at=self.clock(),
-            leave_seconds=self.node_settings.leave_seconds,
+            shutdown_grace_seconds=self.node_settings.shutdown_grace_seconds,
         )
         self._depart(self.clock())
         self._update_state()
