--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -17,7 +17,7 @@
 from attrs import frozen
 
 from siskinshift.connections.balancer_node import BalancerNode
-from siskinshift.connections.configuration_follower import ConfigurationReading
+from siskinshift.connections.configuration_follower import ReceivedConfiguration
 from siskinshift.connections.node_settings import NodeSettings
 from siskinshift.connections.node_settings import StoreSettings
 from siskinshift.connections.peer_codec import encode_status
@@ -89,7 +89,7 @@
             self._agents.append(opened)
             status = encode_status(Status(_agent(f"agent-{number}", host), Load()))
             opened.sendto(status, (BALANCER, PORT))
-        self._node.configure(_routes(), ConfigurationReading(b""))
+        self._node.configure(_routes(), ReceivedConfiguration(b""))
         self._turn()
         self._port = 1024
         self._ports = [self._open() for _ in range(FLOWS)]
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -9,7 +9,7 @@
 from siskinshift.connections.configuration_catch_up import CatchUp
 from siskinshift.connections.configuration_follower import STORE
 from siskinshift.connections.configuration_follower import ConfigurationFollower
-from siskinshift.connections.configuration_follower import ConfigurationReading
+from siskinshift.connections.configuration_follower import ReceivedConfiguration
 from siskinshift.connections.evacuation_dissemination import EvacuationDissemination
 from siskinshift.connections.evacuation_reader import EvacuationReader
 from siskinshift.connections.evacuations import EvacuationRegister
@@ -287,7 +287,7 @@
             return
         self.perform(self._flows.on_segment(segment, now=now))
 
-    def _apply_reading(self, reading: ConfigurationReading) -> None:
+    def _apply_reading(self, reading: ReceivedConfiguration) -> None:
         try:
             routes = decode_configuration(reading.value)
         except BadMessageError as error:
@@ -299,7 +299,7 @@
 
         self.loop.call(lambda: self.configure(routes, reading))
 
-    def configure(self, routes: RouteTable, reading: ConfigurationReading) -> None:
+    def configure(self, routes: RouteTable, reading: ReceivedConfiguration) -> None:
         """Applies a configuration unless it is out of date; runs on the loop's thread.
 
         Args:
@@ -367,7 +367,7 @@
             if response.status == 200:
                 seconds = client.transfer.seconds
                 self._apply_reading(
-                    ConfigurationReading(response.body, peer_id, seconds)
+                    ReceivedConfiguration(response.body, peer_id, seconds)
                 )
         except OSError as error:
             # The watch of the store continues; the peer's next status triggers a retry.
--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -33,7 +33,7 @@
 
 
 @frozen
-class ConfigurationReading:
+class ReceivedConfiguration:
     """A configuration as it was read, and the time that this took.
 
     Attributes:
@@ -79,7 +79,7 @@
         prefix: str,
         key: str,
         evacuations: EvacuationReader,
-        on_reading: Callable[[ConfigurationReading], object],
+        on_reading: Callable[[ReceivedConfiguration], object],
         random: Random,
         log: EventLog,
     ) -> None:
@@ -188,5 +188,5 @@
 
     def _handle_entry(self, entry: Entry, transfer: Transfer) -> None:
         self._read_revision = entry.revision
-        reading = ConfigurationReading(entry.value, seconds=transfer.seconds)
+        reading = ReceivedConfiguration(entry.value, seconds=transfer.seconds)
         self._on_reading(reading)
