--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -222,7 +222,7 @@
         name="editor",
         address=SERVICE_ADDRESS,
         targets=(Target("editor", 1),),
-        terms=RequestParameters(objective=0.1, deadline=0.5, urgency=1),
+        request_parameters=RequestParameters(objective=0.1, deadline=0.5, urgency=1),
         is_single_request=False,
     )
     return RouteTable(version=1, routes_by_address={SERVICE_ADDRESS: route})
--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -130,7 +130,9 @@
             return [self._reject_foreign(forward, segment, sender)]
         flow.last_balancer = sender
         actions: list[Action] = []
-        if self._record_caller_packet(flow, segment, forward.terms, now=now):
+        if self._record_caller_packet(
+            flow, segment, forward.request_parameters, now=now
+        ):
             actions.append(ToUpstream(segment.datagram))
         if forward.purpose is Purpose.SEARCH:
             actions.append(self._verdict_to(Verdict.MINE, segment.flow, sender))
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -157,8 +157,8 @@
         if record is None:
             record = self._records.add(FlowRecord(segment.flow))
         record.acknowledged = segment.ack
-        if record.request_parameters is not route.terms:
-            record.request_parameters = route.terms
+        if record.request_parameters is not route.request_parameters:
+            record.request_parameters = route.request_parameters
             record.service_ids = route.service_ids
             record.owner_header = b""
         if record.owner is not None:
@@ -357,7 +357,7 @@
         if record is None or not record.attempts:
             record = self._records.add(FlowRecord(segment.flow))
             record.service_id = route.service_for(segment.flow)
-            record.request_parameters = route.terms
+            record.request_parameters = route.request_parameters
             record.service_ids = route.service_ids
             record.opening = segment.datagram
             record.opened_at = now
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -54,13 +54,13 @@
         service_tag: Hash of the target service, so that an agent that has taken over
             the address for another service does not accept the packet.
         datagram: The packet.
-        terms: Request parameters of the flow's route.
+        request_parameters: Request parameters of the flow's route.
     """
 
     purpose: Purpose
     service_tag: int
     datagram: bytes
-    terms: RequestParameters = NO_TERMS
+    request_parameters: RequestParameters = NO_TERMS
 
 
 @frozen
--- a/src/siskinshift/connections/routes.py
+++ b/src/siskinshift/connections/routes.py
@@ -36,14 +36,14 @@
         name: Name of the route.
         address: Address and port, six bytes packed.
         targets: Services that receive new flows, with a total weight above 0.
-        terms: Request parameters of the route's flows.
+        request_parameters: Request parameters of the route's flows.
         is_single_request: Whether a flow ends after one request.
     """
 
     name: str
     address: bytes
     targets: tuple[Target, ...]
-    terms: RequestParameters
+    request_parameters: RequestParameters
     is_single_request: bool
 
     @property
--- a/src/siskinshift/platform/configuration.py
+++ b/src/siskinshift/platform/configuration.py
@@ -85,7 +85,7 @@
         name=text_of(route, "name"),
         address=_decode_address(route),
         targets=_decode_targets(route),
-        terms=RequestParameters(
+        request_parameters=RequestParameters(
             objective=_decode_seconds(route, "target-latency-ms"),
             deadline=_decode_seconds(route, "timeout-ms"),
             urgency=whole_of(route, "priority"),
