--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -134,35 +134,35 @@
             flow, segment, forward.request_parameters, now=now
         ):
             actions.append(ToUpstream(segment.datagram))
-        if forward.purpose is Purpose.SEARCH:
+        if forward.purpose is Purpose.LOOKUP:
             actions.append(self._verdict_to(Verdict.MINE, segment.flow, sender))
         if segment.flags & (FIN | RESET):
             # The caller may have cancelled a request that occupied a slot.
             actions += self._start_requests(now=now)
         return actions
 
-    def on_question(
-        self, question: OwnerQuery, sender: tuple[str, int], *, now: float
+    def on_owner_query(
+        self, query: OwnerQuery, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
         """Answers a query for the owner of a flow from the agent's own state.
 
         Args:
-            question: The query.
+            query: The query.
             sender: Address of the balancer.
             now: Clock reading, seconds.
 
         Returns:
             The reply.
         """
-        flow = self._flows.get(question.flow)
+        flow = self._flows.get(query.flow)
         if flow is not None:
-            is_own = flow.matches_acknowledgement(question.acknowledged)
+            is_own = flow.matches_acknowledgement(query.acknowledged)
             verdict = Verdict.MINE if is_own else Verdict.NOT_MINE
-        elif self._foreign_flows.has(question.flow, now=now):
+        elif self._foreign_flows.has(query.flow, now=now):
             verdict = Verdict.NOT_MINE
         else:
             verdict = Verdict.UNSURE
-        return [self._verdict_to(verdict, question.flow, sender)]
+        return [self._verdict_to(verdict, query.flow, sender)]
 
     def on_upstream_segment(self, segment: Segment, *, now: float) -> list[Action]:
         """Handles a packet of the upstream.
@@ -365,7 +365,7 @@
             return []
         if self._foreign_flows.has(segment.flow, now=now):
             return [self._reject_foreign(forward, segment, sender)]
-        is_lookup = forward.purpose is Purpose.SEARCH
+        is_lookup = forward.purpose is Purpose.LOOKUP
         probe = self._probes.add(
             segment.flow, sender, segment.ack, is_lookup=is_lookup, now=now
         )
@@ -386,7 +386,7 @@
     ) -> ToPeer:
         # A balancer that runs an owner lookup keeps the packet. One that treats this
         # agent as the owner gets it back for other agents.
-        packet = b"" if forward.purpose is Purpose.SEARCH else segment.datagram
+        packet = b"" if forward.purpose is Purpose.LOOKUP else segment.datagram
         return self._verdict_to(Verdict.NOT_MINE, segment.flow, sender, packet)
 
     def _on_foreign_reply(
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -176,7 +176,7 @@
             self.flows.warm_up.rate = message.rate
             return ()
         if isinstance(message, OwnerQuery):
-            return self.flows.on_question(message, source, now=now)
+            return self.flows.on_owner_query(message, source, now=now)
         if not isinstance(message, Forward):
             return ()
         segment = decode_from_caller(message.datagram)
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -205,25 +205,25 @@
         return self._on_opening_verdict(agent, record, verdict.verdict, now=now)
 
     def on_agent_restarted(
-        self, agent: Peer, *, silent_since: float, now: float
+        self, agent: Peer, *, last_seen_at: float, now: float
     ) -> list[Action]:
         """Resends the packets that an agent missed during its restart.
 
         Args:
             agent: The agent.
-            silent_since: When its previous process was last seen, seconds.
+            last_seen_at: When its previous process was last seen, seconds.
             now: Clock reading, seconds.
 
         Returns:
             Messages with the packets.
         """
-        actions = self._forwarding.resend(agent, since=silent_since, now=now)
+        actions = self._forwarding.resend(agent, since=last_seen_at, now=now)
         if actions:
             self._log.decision(
                 "sent again",
                 agent=agent.member.member_id,
                 packets=len(actions),
-                silent=round(now - silent_since, 3),
+                silent=round(now - last_seen_at, 3),
             )
         return list(actions)
 
@@ -278,7 +278,7 @@
             The lookup; None if there is none.
         """
         record = self._records.find(flow)
-        return record.search if record is not None else None
+        return record.lookup if record is not None else None
 
     def retry_held(self, *, now: float) -> list[Action]:
         """Offers the held opening packets again; call it when an agent becomes ready.
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -208,7 +208,7 @@
             return ()
         return [
             *self._dissemination.on_agent_message(peer),
-            *self._flows.on_agent_restarted(peer, silent_since=last_seen_at, now=now),
+            *self._flows.on_agent_restarted(peer, last_seen_at=last_seen_at, now=now),
         ]
 
     def on_due(self, now: float) -> float:
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -9,7 +9,7 @@
 
 from siskinshift.connections.fleet import Peer
 from siskinshift.connections.owner_lookup import OwnerLookup
-from siskinshift.connections.peer_messages import NO_TERMS
+from siskinshift.connections.peer_messages import NO_REQUEST_PARAMETERS
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.request_queue import RequestParameters
 
@@ -48,12 +48,12 @@
             was not seen.
         service_ids: Services that may hold the flow by the configuration.
         owner: Agent whose upstream holds the flow, once known.
-        is_refuted: Whether an agent that counted as the owner was not.
+        was_owner_refuted: Whether an agent that counted as the owner was not.
         opening: The opening packet, until the flow is open.
         opened_at: Time of arrival of the opening packet, seconds.
         attempts: Attempts to open the flow, one per agent.
         request_parameters: Request parameters of the flow's route.
-        search: The owner lookup in progress, if any.
+        lookup: The owner lookup in progress, if any.
         acknowledged: Number that the caller acknowledged last.
         owner_header: Cached header of packets for the owner, since most packets of a
             balancer belong to open flows.
@@ -62,12 +62,12 @@
     flow: bytes
     service_id: str = ""
     owner: Peer | None = None
-    is_refuted: bool = False
+    was_owner_refuted: bool = False
     opening: bytes = b""
     opened_at: float = 0.0
     attempts: list[Attempt] = Factory(list)
-    request_parameters: RequestParameters = NO_TERMS
-    search: OwnerLookup | None = None
+    request_parameters: RequestParameters = NO_REQUEST_PARAMETERS
+    lookup: OwnerLookup | None = None
     acknowledged: int = 0
     owner_header: bytes = b""
     service_ids: tuple[str, ...] = ()
@@ -79,7 +79,7 @@
         Another balancer may have tried other agents as well. The assumed owner then
         reports that it is not the owner and is no longer returned.
         """
-        if self.is_refuted:
+        if self.was_owner_refuted:
             return None
         if len(self.attempts) == 1 and self.attempts[0].verdict is Verdict.ACCEPTED:
             return self.attempts[0].agent
--- a/src/siskinshift/connections/forwarding.py
+++ b/src/siskinshift/connections/forwarding.py
@@ -6,7 +6,7 @@
 
 from siskinshift.connections.actions import ToPeer
 from siskinshift.connections.peer_codec import encode_forward
-from siskinshift.connections.peer_messages import NO_TERMS
+from siskinshift.connections.peer_messages import NO_REQUEST_PARAMETERS
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.recent_packets import RecentPackets
 from siskinshift.connections.routes import service_tag
@@ -68,8 +68,10 @@
             The message.
         """
         tag = self._service_tag(record.service_id) if record is not None else 0
-        terms = record.request_parameters if record is not None else NO_TERMS
-        return ToPeer(agent.address, encode_forward(purpose, tag, datagram, terms))
+        parameters = (
+            record.request_parameters if record is not None else NO_REQUEST_PARAMETERS
+        )
+        return ToPeer(agent.address, encode_forward(purpose, tag, datagram, parameters))
 
     def all_to_agent(
         self, agent: Peer, purpose: Purpose, packets: list[bytes], record: FlowRecord
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -108,7 +108,7 @@
         actions: list[Action] = []
         while self._lookups and self._lookups[0][0] <= now:
             _, _, record, lookup = heapq.heappop(self._lookups)
-            if record.search is lookup and lookup.next_batch_at <= now:
+            if record.lookup is lookup and lookup.next_batch_at <= now:
                 actions += self._query_next_batch(record, lookup, now=now)
         return actions
 
@@ -129,7 +129,7 @@
         Returns:
             Actions to perform.
         """
-        lookup = record.search
+        lookup = record.lookup
         if lookup is None or lookup.is_finished(self._fleet, now=now):
             return self._start(record, segment.datagram, now=now)
         lookup.add(segment.datagram)
@@ -171,9 +171,9 @@
         Returns:
             Messages with the buffered packets, unless they were sent to the owner.
         """
-        lookup = record.search
+        lookup = record.lookup
         record.owner = agent
-        record.search = None
+        record.lookup = None
         member_id = agent.member.member_id
         self._log.decision(
             "owner found", flow=format_flow(record.flow), agent=member_id
@@ -188,7 +188,7 @@
     def _start(
         self, record: FlowRecord, packet: bytes, *, now: float, denied_by: str = ""
     ) -> list[Action]:
-        record.search = OwnerLookup(
+        record.lookup = OwnerLookup(
             flow=record.flow,
             service_ids=record.service_ids,
             packets=[packet],
@@ -197,7 +197,7 @@
             denied={denied_by} if denied_by else set(),
             started_at=now,
         )
-        return self._query_next_batch(record, record.search, now=now)
+        return self._query_next_batch(record, record.lookup, now=now)
 
     def _query_next_batch(
         self, record: FlowRecord, lookup: OwnerLookup, *, now: float
@@ -217,7 +217,7 @@
             # The owner may be an agent that was not discovered yet, or whose replies
             # do not reach this balancer.
             return self._restart_later(record, lookup, now=now)
-        record.search = None
+        record.lookup = None
         self._records.drop(record.flow)
         self._log.decision(
             "reset",
@@ -290,7 +290,7 @@
 
     def _abandon(self, record: FlowRecord, *, reason: str) -> list[Action]:
         # The caller's next packet starts another lookup.
-        record.search = None
+        record.lookup = None
         self._log.decision("not searched", flow=format_flow(record.flow), reason=reason)
         return []
 
@@ -315,7 +315,7 @@
                 actions.append(ToPeer(agent.address, query))
             else:
                 actions += self._forwarding.all_to_agent(
-                    agent, Purpose.SEARCH, packets, record
+                    agent, Purpose.LOOKUP, packets, record
                 )
         size = sum(len(a.datagram) + DATAGRAM_HEADER_BYTES for a in actions)
         self._budget.take(size, now=now)
@@ -330,7 +330,7 @@
         unsure then, and sending all packets of a request to each takes 0.3 MB. Agents
         for which the budget is exhausted are queried again in the next round.
         """
-        lookup = record.search
+        lookup = record.lookup
         member_id = agent.member.member_id
         if (
             lookup is None
@@ -340,7 +340,7 @@
         if self._budget.wait(now=now):
             return []
         packet = min(lookup.packets, key=len)
-        action = self._forwarding.to_agent(agent, Purpose.SEARCH, packet, record)
+        action = self._forwarding.to_agent(agent, Purpose.LOOKUP, packet, record)
         self._budget.take(len(action.datagram) + DATAGRAM_HEADER_BYTES, now=now)
         return [action]
 
@@ -349,7 +349,7 @@
     ) -> list[Action]:
         """Starts a lookup for a flow that its presumed owner does not confirm."""
         record.owner = None
-        record.is_refuted = True
+        record.was_owner_refuted = True
         if not packet:
             return []
         return self._start(record, packet, now=now, denied_by=denied_by)
@@ -360,7 +360,7 @@
         member_id = agent.member.member_id
         if record.owner is agent:
             return self._on_refuted(record, packet, now=now, denied_by=member_id)
-        lookup = record.search
+        lookup = record.lookup
         if lookup is None or member_id not in lookup.pending:
             return []
         lookup.mark_denied(member_id)
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -17,7 +17,7 @@
 from siskinshift.connections.evacuations import evacuations_from_document
 from siskinshift.connections.member_documents import member_document
 from siskinshift.connections.member_documents import member_from_document
-from siskinshift.connections.peer_messages import NO_TERMS
+from siskinshift.connections.peer_messages import NO_REQUEST_PARAMETERS
 from siskinshift.connections.peer_messages import Alive
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Forward
@@ -92,7 +92,7 @@
     purpose: Purpose,
     service_tag: int,
     datagram: bytes,
-    terms: RequestParameters = NO_TERMS,
+    request_parameters: RequestParameters = NO_REQUEST_PARAMETERS,
 ) -> bytes:
     """Encodes a packet for an agent.
 
@@ -100,7 +100,7 @@
         purpose: What the agent is requested to do with the packet.
         service_tag: Hash of the target service.
         datagram: The packet.
-        terms: Request parameters of the flow's route.
+        request_parameters: Request parameters of the flow's route.
 
     Returns:
         The message.
@@ -109,9 +109,9 @@
         _Kind.FORWARD,
         purpose,
         service_tag,
-        min(terms.urgency, _MAX_URGENCY),
-        min(round(terms.objective * _MILLISECONDS), _MAX_COUNT),
-        min(round(terms.deadline * _MILLISECONDS), _MAX_COUNT),
+        min(request_parameters.urgency, _MAX_URGENCY),
+        min(round(request_parameters.objective * _MILLISECONDS), _MAX_COUNT),
+        min(round(request_parameters.deadline * _MILLISECONDS), _MAX_COUNT),
     )
     return header + datagram
 
@@ -295,11 +295,11 @@
     )
     if purpose < 1:
         raise ValueError(purpose)
-    terms = RequestParameters(
+    request_parameters = RequestParameters(
         objective_ms / _MILLISECONDS, deadline_ms / _MILLISECONDS, urgency
     )
     packet = datagram[_FORWARD_HEADER.size :]
-    return Forward(_PURPOSES[purpose - 1], service_tag, packet, terms)
+    return Forward(_PURPOSES[purpose - 1], service_tag, packet, request_parameters)
 
 
 def _decode_verdict(datagram: bytes) -> FlowVerdict:
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -12,19 +12,19 @@
 from siskinshift.messages.core import Member
 
 
-NO_TERMS = RequestParameters()
+NO_REQUEST_PARAMETERS = RequestParameters()
 
 
 class Purpose(IntEnum):
     """What a balancer requests of an agent with a packet.
 
-    OPEN: open a flow. OWNED: the agent owns the flow. SEARCH: deliver the packet if the
+    OPEN: open a flow. OWNED: the agent owns the flow. LOOKUP: deliver the packet if the
     agent owns the flow, and reply with a verdict in either case.
     """
 
     OPEN = 1
     OWNED = 2
-    SEARCH = 3
+    LOOKUP = 3
 
 
 class Verdict(IntEnum):
@@ -60,7 +60,7 @@
     purpose: Purpose
     service_tag: int
     datagram: bytes
-    request_parameters: RequestParameters = NO_TERMS
+    request_parameters: RequestParameters = NO_REQUEST_PARAMETERS
 
 
 @frozen
