--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -19,8 +19,8 @@
 from siskinshift.connections.flow_snapshot import FlowSnapshotStore
 from siskinshift.connections.node import ConnectionNode
 from siskinshift.connections.owned_flow import RestoredFlow
-from siskinshift.connections.peer_codec import encode_all_owned
 from siskinshift.connections.peer_codec import encode_evacuations_message
+from siskinshift.connections.peer_codec import encode_ownership_announcements
 from siskinshift.connections.peer_messages import Forward
 from siskinshift.connections.peer_messages import OwnerQuery
 from siskinshift.connections.peer_messages import Purpose
@@ -401,7 +401,7 @@
         flows = self.flows.flows_via(peer.address)
         if flows:
             self.log.decision("owner told", peer=member.member_id, flows=len(flows))
-        messages = encode_all_owned(self.member.member_id, flows)
+        messages = encode_ownership_announcements(self.member.member_id, flows)
         return [ToPeer(peer.address, message) for message in messages]
 
     def _update_member(self, now: float) -> None:
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -20,9 +20,9 @@
 from siskinshift.connections.flow_records import FlowRecords
 from siskinshift.connections.forwarding import Forwarding
 from siskinshift.connections.owner_finder import OwnerFinder
-from siskinshift.connections.peer_codec import encode_all_owned
+from siskinshift.connections.peer_codec import encode_ownership_announcements
 from siskinshift.connections.peer_codec import encode_warm_up_rate
-from siskinshift.connections.peer_messages import Owned
+from siskinshift.connections.peer_messages import OwnershipAnnouncement
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.peer_messages import WarmUpRate
@@ -227,7 +227,7 @@
             )
         return list(actions)
 
-    def encode_owned(self) -> list[bytes]:
+    def encode_owners(self) -> list[bytes]:
         """Encodes the owners of all flows for the balancers that succeed this one.
 
         Returns:
@@ -241,26 +241,28 @@
         return [
             message
             for member_id, flows in flows_by_agent.items()
-            for message in encode_all_owned(member_id, flows)
+            for message in encode_ownership_announcements(member_id, flows)
         ]
 
-    def on_owned(self, owned: Owned, *, now: float) -> list[Action]:
+    def on_ownership_announcement(
+        self, announcement: OwnershipAnnouncement, *, now: float
+    ) -> list[Action]:
         """Caches the owner of flows that another node has announced.
 
         An agent that no longer owns such a flow returns its packets as usual.
 
         Args:
-            owned: The agent and its flows.
+            announcement: The agent and its flows.
             now: Clock reading, seconds.
 
         Returns:
             Messages to the owner with packets of flows whose owner was looked up.
         """
-        agent = self._fleet.peers_by_id.get(owned.member_id)
+        agent = self._fleet.peers_by_id.get(announcement.member_id)
         if agent is None:
             return []
         actions: list[Action] = []
-        for flow in owned.flows:
+        for flow in announcement.flows:
             record = self._records.find(flow)
             if record is None:
                 self._records.add(FlowRecord(flow, owner=agent))
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -19,7 +19,7 @@
 from siskinshift.connections.graceful_shutdown import GracefulShutdown
 from siskinshift.connections.node import ConnectionNode
 from siskinshift.connections.peer_messages import FlowVerdict
-from siskinshift.connections.peer_messages import Owned
+from siskinshift.connections.peer_messages import OwnershipAnnouncement
 from siskinshift.connections.placement import AgentPlacement
 from siskinshift.connections.snapshot_writer import SNAPSHOT_PATH
 from siskinshift.connections.snapshot_writer import UNCHANGED_QUERY
@@ -67,7 +67,7 @@
 # Most datagrams with which a leaving balancer announces the owners of its flows: one
 # for each agent and successor. 400 of about 150 bytes occupy a link of 7 Mbit/s for
 # 70 ms; owners of the other flows are looked up.
-MAX_OWNERS_MESSAGES = 400
+MAX_OWNERSHIP_ANNOUNCEMENTS = 400
 
 
 class BalancerNode(ConnectionNode):
@@ -180,8 +180,8 @@
         self, message: PeerMessage, source: tuple[str, int], now: float
     ) -> Iterable[Action]:
         """Handles verdicts, announcements of owners and evacuations."""
-        if isinstance(message, Owned):
-            return self._flows.on_owned(message, now=now)
+        if isinstance(message, OwnershipAnnouncement):
+            return self._flows.on_ownership_announcement(message, now=now)
         if isinstance(message, Evacuations):
             self.evacuate(message, source=source[0])
             return self._dissemination.reply_to(message, source)
@@ -261,10 +261,10 @@
         Guards against hundreds of simultaneous owner lookups, each among up to all
         agents, on links of a few Mbit/s, when routers move the flows.
         """
-        messages = self._flows.encode_owned()
+        messages = self._flows.encode_owners()
         ready = [peer for peer in peers if peer.member.state is MemberState.READY]
         announcements = [(peer, message) for peer in ready for message in messages]
-        for peer, message in announcements[:MAX_OWNERS_MESSAGES]:
+        for peer, message in announcements[:MAX_OWNERSHIP_ANNOUNCEMENTS]:
             self.send_datagram(message, peer.address)
         self.log.fact(
             "owners told",
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from siskinshift.connections.peer_messages import Alive
+    from siskinshift.connections.peer_messages import PeerHeartbeat
     from siskinshift.connections.peer_messages import Status
 
 
@@ -69,7 +69,7 @@
         load: Newest load that it reported.
         flows_since_load: New flows sent to it since it reported that load.
         configuration_version: Newest configuration that it holds.
-        next_message_within: Seconds until its next heartbeat, as it announced.
+        next_heartbeat_within: Seconds until its next heartbeat, as it announced.
         queried_at: Time of the first query that it has not answered, seconds; infinite
             if it has sent a message since.
         unanswered_openings: Consecutive opening packets that it did not answer.
@@ -85,7 +85,7 @@
     load: Load = NO_LOAD
     flows_since_load: int = 0
     configuration_version: int = 0
-    next_message_within: float = STATUS_INTERVAL_SECONDS
+    next_heartbeat_within: float = STATUS_INTERVAL_SECONDS
     queried_at: float = float("inf")
     unanswered_openings: int = 0
     key: int = 0
@@ -97,7 +97,7 @@
     def unresponsive_after(self) -> float:
         """Seconds without a message after which it counts as unresponsive."""
         return (
-            UNRESPONSIVE_AFTER_INTERVALS * self.next_message_within
+            UNRESPONSIVE_AFTER_INTERVALS * self.next_heartbeat_within
             + DELAY_ALLOWANCE_SECONDS
         )
 
@@ -159,7 +159,7 @@
         """
         if self._is_complete:
             return True
-        intervals = (peer.next_message_within for peer in self.peers_by_id.values())
+        intervals = (peer.next_heartbeat_within for peer in self.peers_by_id.values())
         timeout = max(
             DISCOVERY_TIMEOUT_SECONDS,
             max(intervals, default=0.0) + DELAY_ALLOWANCE_SECONDS,
@@ -211,7 +211,9 @@
         self.update_load(peer, status.load)
         return peer
 
-    def handle_alive(self, peer: Peer, message: Alive, *, now: float) -> bool:
+    def handle_heartbeat(
+        self, peer: Peer, message: PeerHeartbeat, *, now: float
+    ) -> bool:
         """Handles a heartbeat of a peer.
 
         Args:
@@ -227,7 +229,9 @@
         if known != (message.incarnation, message.version):
             return False
         peer.configuration_version = message.configuration_version
-        peer.next_message_within = max(message.next_within, STATUS_INTERVAL_SECONDS)
+        peer.next_heartbeat_within = max(
+            message.next_heartbeat_within, STATUS_INTERVAL_SECONDS
+        )
         self.record_message(peer, now=now)
         self.update_load(peer, message.load)
         return True
--- a/src/siskinshift/connections/heartbeat_schedule.py
+++ b/src/siskinshift/connections/heartbeat_schedule.py
@@ -32,11 +32,11 @@
 
     Attributes:
         peers: Recipients of the heartbeat.
-        next_within: Seconds within which they get the next one.
+        next_heartbeat_within: Seconds within which they get the next one.
     """
 
     peers: Sequence[Peer]
-    next_within: float
+    next_heartbeat_within: float
 
 
 class HeartbeatSchedule:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -16,13 +16,13 @@
 from siskinshift.connections.fleet import Fleet
 from siskinshift.connections.heartbeat_schedule import HeartbeatSchedule
 from siskinshift.connections.peer_codec import decode_peer_message
-from siskinshift.connections.peer_codec import encode_alive
 from siskinshift.connections.peer_codec import encode_known_hosts
+from siskinshift.connections.peer_codec import encode_peer_heartbeat
 from siskinshift.connections.peer_codec import encode_status
 from siskinshift.connections.peer_discovery import PeerDiscovery
-from siskinshift.connections.peer_messages import Alive
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.connections.peer_messages import Load
+from siskinshift.connections.peer_messages import PeerHeartbeat
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.registration import MEMBERS_PREFIX
 from siskinshift.connections.registration import Registration
@@ -268,13 +268,13 @@
         Args:
             due: Peers of this round, and the time until their next heartbeat.
         """
-        datagram = encode_alive(
-            Alive(
+        datagram = encode_peer_heartbeat(
+            PeerHeartbeat(
                 self.member.incarnation,
                 self.member.version,
                 self.load,
                 self.configuration_version,
-                due.next_within,
+                due.next_heartbeat_within,
             )
         )
         for peer in due.peers:
@@ -352,8 +352,8 @@
             self.log.decision("message unreadable", source=source[0])
         elif isinstance(message, Status):
             self._on_status(message, source, now)
-        elif isinstance(message, Alive):
-            self._on_alive(message, source, now)
+        elif isinstance(message, PeerHeartbeat):
+            self._on_peer_heartbeat(message, source, now)
         elif isinstance(message, KnownHosts):
             self._on_known_hosts(message, source[0], now)
         else:
@@ -378,9 +378,11 @@
             self.perform(self.on_peer_restarted(peer, last_seen_at, now))
         self.perform(self.on_peer_status(peer, now))
 
-    def _on_alive(self, message: Alive, source: tuple[str, int], now: float) -> None:
+    def _on_peer_heartbeat(
+        self, message: PeerHeartbeat, source: tuple[str, int], now: float
+    ) -> None:
         peer = self.fleet.peers_by_address.get(source)
-        if peer is None or not self.fleet.handle_alive(peer, message, now=now):
+        if peer is None or not self.fleet.handle_heartbeat(peer, message, now=now):
             # The peer is unknown or its record here is outdated: request its full
             # status.
             self.send_datagram(self._own_status(wants_status=True), source)
--- a/src/siskinshift/connections/peer_codec.py
+++ b/src/siskinshift/connections/peer_codec.py
@@ -18,13 +18,13 @@
 from siskinshift.connections.member_documents import member_document
 from siskinshift.connections.member_documents import member_from_document
 from siskinshift.connections.peer_messages import NO_REQUEST_PARAMETERS
-from siskinshift.connections.peer_messages import Alive
 from siskinshift.connections.peer_messages import FlowVerdict
 from siskinshift.connections.peer_messages import Forward
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.connections.peer_messages import Load
-from siskinshift.connections.peer_messages import Owned
 from siskinshift.connections.peer_messages import OwnerQuery
+from siskinshift.connections.peer_messages import OwnershipAnnouncement
+from siskinshift.connections.peer_messages import PeerHeartbeat
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.peer_messages import Verdict
@@ -45,7 +45,7 @@
 
 
 # Most flows in one datagram: 1,200 bytes, as much as a caller's packet.
-MAX_OWNED_FLOWS = 90
+MAX_ANNOUNCED_FLOWS = 90
 # Most hosts in one datagram.
 MAX_KNOWN_HOSTS = 280
 
@@ -55,9 +55,9 @@
     VERDICT = 2
     STATUS = 3
     KNOWN_HOSTS = 4
-    ALIVE = 5
+    PEER_HEARTBEAT = 5
     OWNER_QUERY = 6
-    OWNED = 7
+    OWNERSHIP_ANNOUNCEMENT = 7
     EVACUATIONS = 8
     WARM_UP_RATE = 9
 
@@ -70,12 +70,12 @@
 _LOAD = struct.Struct("!HH?")
 # kind, incarnation, record's version, configuration's version, milliseconds until the
 # next heartbeat; the load follows
-_ALIVE = struct.Struct("!BQIIH")
+_PEER_HEARTBEAT = struct.Struct("!BQIIH")
 # kind, verdict, flow; the load and the packet follow
 _VERDICT = struct.Struct(f"!BB{FLOW_SIZE}s")
 _OWNER_QUERY = struct.Struct(f"!B{FLOW_SIZE}sI")
 # kind, length of the agent's member id; the member id and the flows follow
-_OWNED = struct.Struct("!BB")
+_OWNERSHIP_ANNOUNCEMENT = struct.Struct("!BB")
 # kind, whether the sender's list is complete, its length; the hosts follow
 _KNOWN_HOSTS = struct.Struct("!B?H")
 # kind, new flows a second
@@ -128,20 +128,26 @@
     return _OWNER_QUERY.pack(_Kind.OWNER_QUERY, query.flow, query.acknowledged)
 
 
-def encode_owned(owned: Owned) -> bytes:
+def encode_ownership_announcement(announcement: OwnershipAnnouncement) -> bytes:
     """Encodes an announcement of an agent's flows.
 
     Args:
-        owned: The agent and its flows; a hundred of them fit into a packet.
+        announcement: The agent and at most `MAX_ANNOUNCED_FLOWS` of its flows.
 
     Returns:
         The message.
     """
-    member_id = owned.member_id.encode()
-    return _OWNED.pack(_Kind.OWNED, len(member_id)) + member_id + b"".join(owned.flows)
+    member_id = announcement.member_id.encode()
+    return (
+        _OWNERSHIP_ANNOUNCEMENT.pack(_Kind.OWNERSHIP_ANNOUNCEMENT, len(member_id))
+        + member_id
+        + b"".join(announcement.flows)
+    )
 
 
-def encode_all_owned(member_id: str, flows: Sequence[bytes]) -> list[bytes]:
+def encode_ownership_announcements(
+    member_id: str, flows: Sequence[bytes]
+) -> list[bytes]:
     """Encodes the announcement of an agent's flows in as many messages as needed.
 
     Args:
@@ -152,8 +158,10 @@
         The messages.
     """
     return [
-        encode_owned(Owned(member_id, tuple(flows[i : i + MAX_OWNED_FLOWS])))
-        for i in range(0, len(flows), MAX_OWNED_FLOWS)
+        encode_ownership_announcement(
+            OwnershipAnnouncement(member_id, tuple(flows[i : i + MAX_ANNOUNCED_FLOWS]))
+        )
+        for i in range(0, len(flows), MAX_ANNOUNCED_FLOWS)
     ]
 
 
@@ -191,23 +199,23 @@
     return bytes((_Kind.STATUS,)) + encode_json(body)
 
 
-def encode_alive(alive: Alive) -> bytes:
+def encode_peer_heartbeat(heartbeat: PeerHeartbeat) -> bytes:
     """Encodes the short heartbeat of a member.
 
     Args:
-        alive: The heartbeat.
+        heartbeat: The heartbeat.
 
     Returns:
         The message.
     """
-    header = _ALIVE.pack(
-        _Kind.ALIVE,
-        alive.incarnation,
-        alive.version,
-        alive.configuration_version,
-        min(round(alive.next_within * _MILLISECONDS), _MAX_COUNT),
+    header = _PEER_HEARTBEAT.pack(
+        _Kind.PEER_HEARTBEAT,
+        heartbeat.incarnation,
+        heartbeat.version,
+        heartbeat.configuration_version,
+        min(round(heartbeat.next_heartbeat_within * _MILLISECONDS), _MAX_COUNT),
     )
-    return header + _pack_load(alive.load)
+    return header + _pack_load(heartbeat.load)
 
 
 def _pack_load(load: Load) -> bytes:
@@ -225,7 +233,7 @@
         The message.
     """
     count = min(known.count, _MAX_COUNT)
-    header = _KNOWN_HOSTS.pack(_Kind.KNOWN_HOSTS, known.is_whole, count)
+    header = _KNOWN_HOSTS.pack(_Kind.KNOWN_HOSTS, known.is_complete, count)
     return header + b"".join(socket.inet_aton(host) for host in known.hosts)
 
 
@@ -269,15 +277,15 @@
             return _decode_forward(datagram)
         if datagram[0] == _Kind.VERDICT:
             return _decode_verdict(datagram)
-        if datagram[0] == _Kind.OWNED:
-            return _decode_owned(datagram)
+        if datagram[0] == _Kind.OWNERSHIP_ANNOUNCEMENT:
+            return _decode_ownership_announcement(datagram)
         if datagram[0] == _Kind.OWNER_QUERY:
             _, flow, acknowledged = _OWNER_QUERY.unpack(datagram)
             return OwnerQuery(flow, acknowledged)
         if datagram[0] == _Kind.STATUS:
             return _decode_status(datagram)
-        if datagram[0] == _Kind.ALIVE:
-            return _decode_alive(datagram)
+        if datagram[0] == _Kind.PEER_HEARTBEAT:
+            return _decode_peer_heartbeat(datagram)
         if datagram[0] == _Kind.KNOWN_HOSTS:
             return _decode_known_hosts(datagram)
         if datagram[0] == _Kind.EVACUATIONS:
@@ -311,22 +319,26 @@
     return FlowVerdict(_VERDICTS[verdict - 1], flow, load, packet)
 
 
-def _decode_owned(datagram: bytes) -> Owned:
-    _, length = _OWNED.unpack_from(datagram)
-    flows_offset = _OWNED.size + length
+def _decode_ownership_announcement(datagram: bytes) -> OwnershipAnnouncement:
+    _, length = _OWNERSHIP_ANNOUNCEMENT.unpack_from(datagram)
+    flows_offset = _OWNERSHIP_ANNOUNCEMENT.size + length
     flows = datagram[flows_offset:]
     if len(flows) % FLOW_SIZE:
         raise ValueError(len(flows))
-    return Owned(
-        datagram[_OWNED.size : flows_offset].decode(),
+    return OwnershipAnnouncement(
+        datagram[_OWNERSHIP_ANNOUNCEMENT.size : flows_offset].decode(),
         tuple(flows[i : i + FLOW_SIZE] for i in range(0, len(flows), FLOW_SIZE)),
     )
 
 
-def _decode_alive(datagram: bytes) -> Alive:
-    _, incarnation, version, configuration, next_ms = _ALIVE.unpack_from(datagram)
-    load = Load(*_LOAD.unpack(datagram[_ALIVE.size :]))
-    return Alive(incarnation, version, load, configuration, next_ms / _MILLISECONDS)
+def _decode_peer_heartbeat(datagram: bytes) -> PeerHeartbeat:
+    _, incarnation, version, configuration, next_ms = _PEER_HEARTBEAT.unpack_from(
+        datagram
+    )
+    load = Load(*_LOAD.unpack(datagram[_PEER_HEARTBEAT.size :]))
+    return PeerHeartbeat(
+        incarnation, version, load, configuration, next_ms / _MILLISECONDS
+    )
 
 
 def _decode_warm_up_rate(datagram: bytes) -> WarmUpRate:
@@ -352,7 +364,7 @@
 
 
 def _decode_known_hosts(datagram: bytes) -> KnownHosts:
-    _, is_whole, count = _KNOWN_HOSTS.unpack_from(datagram)
+    _, is_complete, count = _KNOWN_HOSTS.unpack_from(datagram)
     packed = datagram[_KNOWN_HOSTS.size :]
     if len(packed) % _HOST_SIZE:
         raise ValueError(len(packed))
@@ -360,4 +372,4 @@
         socket.inet_ntoa(packed[start : start + _HOST_SIZE])
         for start in range(0, len(packed), _HOST_SIZE)
     )
-    return KnownHosts(tuple(hosts), count, is_whole)
+    return KnownHosts(tuple(hosts), count, is_complete)
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -59,7 +59,7 @@
             self._received_at_by_host.setdefault(host, now)
         hosts = self._hosts_by_sender.setdefault(sender, set())
         hosts |= set(known.hosts)
-        if known.is_whole and len(hosts) >= known.count:
+        if known.is_complete and len(hosts) >= known.count:
             self._has_complete_list = True
         return True
 
@@ -120,12 +120,12 @@
         if requester.role is not Role.AGENT:
             peers += self._fleet.agents()
         hosts = sorted({peer.address[0] for peer in peers} - {requester.data.host})
-        is_whole = self._fleet.is_complete(now=now)
+        is_complete = self._fleet.is_complete(now=now)
         return [
             KnownHosts(
                 tuple(hosts[start : start + MAX_KNOWN_HOSTS]),
                 count=len(hosts),
-                is_whole=is_whole,
+                is_complete=is_complete,
             )
             for start in range(0, max(1, len(hosts)), MAX_KNOWN_HOSTS)
         ]
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -77,7 +77,7 @@
 
 
 @frozen
-class Owned:
+class OwnershipAnnouncement:
     """Announces an agent's flows to a balancer that has no record of them.
 
     A leaving balancer sends it to its successors, an agent to a balancer that has
@@ -146,7 +146,7 @@
 
 
 @frozen
-class Alive:
+class PeerHeartbeat:
     """A short heartbeat of a member whose record has not changed.
 
     It takes a fourteenth of the bytes of a status.
@@ -156,14 +156,14 @@
         version: Version of that record.
         load: The member's load.
         configuration_version: Version of its newest configuration; 0 for none.
-        next_within: Seconds within which the next heartbeat follows.
+        next_heartbeat_within: Seconds within which the next heartbeat follows.
     """
 
     incarnation: int
     version: int
     load: Load
     configuration_version: int
-    next_within: float
+    next_heartbeat_within: float
 
 
 @frozen
@@ -173,12 +173,12 @@
     Attributes:
         hosts: IP addresses.
         count: Number of all members known to the peer.
-        is_whole: Whether the peer's list of members is complete.
+        is_complete: Whether the peer's list of members is complete.
     """
 
     hosts: tuple[str, ...]
     count: int
-    is_whole: bool
+    is_complete: bool
 
 
 @frozen
@@ -196,10 +196,10 @@
     Forward
     | FlowVerdict
     | Status
-    | Alive
+    | PeerHeartbeat
     | KnownHosts
     | OwnerQuery
-    | Owned
+    | OwnershipAnnouncement
     | Evacuations
     | WarmUpRate
 )
