--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -1,9 +1,10 @@
 """Decides at an agent how to handle each packet of its upstream's flows.
 
 A flow belongs to the upstream whose initial sequence number the caller acknowledged.
-The agent sees that number in the upstream's response, so it can tell its own flows from
-those of other upstreams without a query to peers. A restarted agent has no flow state
-and relies on its upstream, which returns a packet of a flow that it does not hold.
+The agent reads that number from the upstream's response, so it distinguishes its own
+flows from those of other upstreams without querying peers. A restarted agent has no
+flow state and relies on its upstream, which returns packets of flows that it does not
+hold.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
 
 
 class AgentFlows:
-    """Flows of the upstream beside one agent.
+    """Flows of one agent's upstream.
 
     Attributes:
         is_draining: Whether new flows are refused because the agent is shutting down.
@@ -95,7 +96,7 @@
 
     @property
     def load(self) -> Load:
-        """Open flows, those with a waiting caller, and whether they are certain."""
+        """Open flows, unanswered requests, and whether all flows are tracked."""
         return Load(
             self._flows.open_count,
             len(self._queue),
@@ -124,7 +125,7 @@
         if flow is None:
             return self._probe_ownership(forward, segment, sender, now=now)
         if not flow.matches_acknowledgement(segment.ack):
-            # The caller chose the response of another upstream.
+            # The caller accepted the response of another upstream.
             if segment.flags & RESET:
                 return []
             return [self._reject_foreign(forward, segment, sender)]
@@ -144,7 +145,7 @@
     def on_owner_query(
         self, query: OwnerQuery, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
-        """Answers a query for the owner of a flow from the agent's own state.
+        """Replies to an owner query from the agent's own state.
 
         Args:
             query: The query.
@@ -234,9 +235,9 @@
     def flows_via(self, balancer: tuple[str, int]) -> list[bytes]:
         """Returns the open flows whose newest packet came from a balancer.
 
-        A restarted balancer that receives this list needs no owner lookups. Routers
-        send it the same flows again, hundreds within a second, and on a link of
-        5 Mbit/s the queries for them alone would take seconds.
+        A restarted balancer that receives them needs no owner lookups. Routers send it
+        the same flows as before, hundreds within a second, and on a link of 5 Mbit/s
+        the queries for them alone would take seconds.
 
         Args:
             balancer: Address of the balancer.
@@ -274,7 +275,7 @@
         return []
 
     def mark_all_known(self) -> None:
-        """Records that this process has seen every flow of the upstream."""
+        """Records that this process tracks every flow of the upstream."""
         self._foreign_flows.treats_unknown_as_foreign = True
 
     def on_upstream_gone(self, *, now: float) -> list[Action]:
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -1,4 +1,4 @@
-"""Runs the agent of connection flows, the process beside an upstream."""
+"""The agent node: delivers callers' packets to the upstream of its instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from siskinshift.connections.agent_flows import AgentFlows
 from siskinshift.connections.evacuations import EvacuationRegister
 from siskinshift.connections.evacuations import Evacuations
-from siskinshift.connections.fleet import STATUS_INTERVAL_SECONDS
+from siskinshift.connections.fleet import MIN_HEARTBEAT_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import READ_RETRY_SECONDS
 from siskinshift.connections.flow_snapshot import UPLOAD_INTERVAL_SECONDS
 from siskinshift.connections.flow_snapshot import FlowSnapshot
@@ -59,12 +59,12 @@
     from siskinshift.runtime.http_server import HttpRequest
 
 
-# Below one second, after which an upstream repeats a request without a response.
+# Below one second, after which an upstream repeats a request that got no response.
 LOOP_CALL_TIMEOUT_SECONDS = 0.8
-# A terminating agent waits for running requests. The next process is up within a
-# second, and most requests take less than this.
-MAX_LEAVE_SECONDS = 1.0
-LEAVE_CHECK_INTERVAL_SECONDS = 0.02
+# Longest time that a terminating agent continues for running requests. Its next process
+# starts within a second, and most requests take less than this.
+MAX_SHUTDOWN_SECONDS = 1.0
+SHUTDOWN_CHECK_INTERVAL_SECONDS = 0.02
 # After this delay of a heartbeat the agent probes whether the upstream's process is
 # still running.
 LATE_HEARTBEAT_SECONDS = 0.25
@@ -109,7 +109,9 @@
             upload=self._snapshot_upload.upload,
             log=self.log,
         )
-        self._schedule = self.new_heartbeat_schedule(interval=STATUS_INTERVAL_SECONDS)
+        self._schedule = self.new_heartbeat_schedule(
+            interval=MIN_HEARTBEAT_INTERVAL_SECONDS
+        )
         self._last_heartbeat_at = float("-inf")
         self._probed_at = float("-inf")
         self._is_probing = False
@@ -118,10 +120,10 @@
         self._upstream_restart_check = UpstreamRestartCheck()
         self._is_snapshot_urgent = threading.Event()
         self._notified_incarnations_by_id: dict[str, int] = {}
-        self._leave_deadline = float("inf")
+        self._shutdown_deadline = float("inf")
 
     def on_start(self) -> None:
-        """Starts to serve heartbeats and to maintain the flow snapshot."""
+        """Starts the heartbeat server and the task that maintains the flow snapshot."""
         super().on_start()
         if self.node_settings.heartbeats is not None:
             self.serve(self.node_settings.heartbeats, self._handle_upstream_request)
@@ -135,7 +137,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the upstream accepts new flows."""
-        return not self.is_leaving and self.upstream.accepts(now=self.clock())
+        return not self.is_shutting_down and self.upstream.accepts(now=self.clock())
 
     @property
     def load(self) -> Load:
@@ -156,14 +158,14 @@
         return member.role is Role.BALANCER
 
     def begin_shutdown(self) -> None:
-        """Refuses new flows and ends the process as soon as no request is running."""
+        """Refuses new flows and ends the process once no request is running."""
         now = self.clock()
-        self._leave_deadline = now
+        self._shutdown_deadline = now
         self.flows.is_draining = True
         if self.upstream.is_gone:
             self.perform(self.flows.on_upstream_gone(now=now))
         else:
-            self._leave_deadline += MAX_LEAVE_SECONDS
+            self._shutdown_deadline += MAX_SHUTDOWN_SECONDS
         self.send_status(self.fleet.balancers())
 
     def on_message(
@@ -217,15 +219,15 @@
         self.perform(self.flows.tick(now=now))
         self._update_member(now)
         if now >= self._schedule.next_due:
-            for each in self._schedule.due(self.fleet.balancers(), now=now):
-                self.send_heartbeats(each)
+            for heartbeat_round in self._schedule.due(self.fleet.balancers(), now=now):
+                self.send_heartbeats(heartbeat_round)
         due = self._schedule.next_due
-        if not self.is_leaving:
+        if not self.is_shutting_down:
             self._probe_if_late(now)
             return min(due, now + CHECK_INTERVAL_SECONDS)
-        if now >= self._leave_deadline or not self.flows.load.running:
+        if now >= self._shutdown_deadline or not self.flows.load.running:
             self.stopping.set()
-        return min(due, now + LEAVE_CHECK_INTERVAL_SECONDS)
+        return min(due, now + SHUTDOWN_CHECK_INTERVAL_SECONDS)
 
     def send_to_upstream(self, datagram: bytes) -> None:
         """Sends a packet to the upstream."""
@@ -283,7 +285,7 @@
                 started_ms=heartbeat.incarnation.started_ms,
                 service=heartbeat.service_id,
                 sequence=heartbeat.sequence,
-                present_started_ms=self._present_started_ms,
+                present_started_ms=self._current_started_ms,
             )
             return
         self._last_heartbeat_at = now
@@ -299,7 +301,7 @@
             effect=effect.name.lower(),
         )
         self._update_member(now)
-        self._apply_first_start(self._upstream_restart_check.on_heartbeat(heartbeat))
+        self._apply_restart_check(self._upstream_restart_check.on_heartbeat(heartbeat))
         if effect is HeartbeatEffect.REPLACED:
             # This process has seen all flows of the new incarnation. The next process
             # must not apply a snapshot of an earlier incarnation to it.
@@ -311,13 +313,13 @@
             self._verified_incarnation = self.upstream.incarnation
             self.perform(self.flows.verify_all())
 
-    def _apply_first_start(self, is_new: bool) -> None:
+    def _apply_restart_check(self, is_new: bool) -> None:
         if is_new:
             self.log.fact("upstream is new", upstream=self.upstream.upstream_id)
             self.flows.mark_all_known()
 
     @property
-    def _present_started_ms(self) -> int | None:
+    def _current_started_ms(self) -> int | None:
         return (
             self.upstream.incarnation.started_ms if self.upstream.incarnation else None
         )
@@ -346,7 +348,7 @@
     ) -> None:
         now = self.clock()
         self.perform(self.flows.restore(flows, now=now))
-        self._apply_first_start(
+        self._apply_restart_check(
             self._upstream_restart_check.on_snapshot_read(incarnation)
         )
         self.log.fact("flows restored", flows=len(flows))
@@ -357,17 +359,17 @@
             self.perform(self.flows.verify_all())
 
     def _choose_writer(self) -> Endpoint | None:
-        """Returns the balancer of the domain that writes this agent's snapshot."""
+        """Returns the endpoint of the balancer that writes this agent's snapshot."""
 
         def choose() -> Peer | None:
             domain = self.member.failure_domain
-            near = [
+            local_balancers = [
                 peer
                 for peer in self.fleet.balancers()
                 if peer.member.failure_domain == domain
             ]
             key = xxhash.xxh3_64_intdigest(self.member.member_id.encode())
-            return choose_writer(key, near, now=self.clock())
+            return choose_writer(key, local_balancers, now=self.clock())
 
         try:
             writer = self.loop.call(choose).result(LOOP_CALL_TIMEOUT_SECONDS)
@@ -392,7 +394,7 @@
         return RestoredFlow(segment, (host, self.node_settings.peer_port))
 
     def on_peer_status(self, peer: Peer, now: float) -> Iterable[Action]:
-        """Sends a balancer its flows, once per incarnation of the balancer."""
+        """Announces to each incarnation of a balancer the flows that it forwards."""
         member = peer.member
         notified = self._notified_incarnations_by_id.get(member.member_id)
         if member.role is not Role.BALANCER or notified == member.incarnation:
@@ -406,7 +408,7 @@
 
     def _update_member(self, now: float) -> None:
         state = self.upstream.state(now=now)
-        if self.is_leaving:
+        if self.is_shutting_down:
             state = MemberState.GONE if self.upstream.is_gone else MemberState.JOINING
         weight = self.upstream.weight(now=now)
         if self.change_member(state=state, weight=weight, slots=self.upstream.slots):
@@ -417,8 +419,8 @@
 
         A port without a listener proves that the process has ended, so that its flows
         can be reset and callers do not wait for a crashed upstream. An upstream that
-        accepts the connection gets flows before its next heartbeat, so that it does
-        not idle beside an agent that has just started.
+        accepts the connection gets flows before its next heartbeat, so that it is not
+        idle while its agent has just started.
         """
         late_at = self._last_heartbeat_at + self.node_settings.heartbeat_interval
         if now <= late_at + LATE_HEARTBEAT_SECONDS:
@@ -459,7 +461,7 @@
             self.perform(self.flows.verify_all())
 
     def on_stop(self) -> None:
-        """Ends the registration if the upstream is gone for good."""
+        """Deregisters the node if its upstream has deregistered."""
         super().on_stop()
         self._is_snapshot_urgent.set()
         if self.upstream.is_gone:
@@ -467,7 +469,7 @@
 
     def _on_process_gone(self, probed_at: float) -> None:
         if self.flows.upstream_last_seen_at >= probed_at:
-            # A packet of the upstream has arrived since and proves the opposite.
+            # The upstream has sent a packet since, so its process is running.
             self.log.fact(
                 "upstream probe contradicted", upstream=self.upstream.upstream_id
             )
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -52,7 +52,8 @@
 # A verdict takes one to three milliseconds; a busy instance replies within this time.
 # The second agent can still meet an objective of 100 ms.
 RETRY_AFTER_SECONDS = 0.04
-# Most agents to which one flow is offered: three failed ones at once are an outage.
+# Limit of agents to which one flow is offered: three simultaneous failures of agents
+# are an outage.
 MAX_ATTEMPTS = 4
 # Longest time that an opening packet is held while no agent can accept it. Callers
 # retransmit after 200 ms, which offers the flow again.
@@ -143,7 +144,7 @@
         """
         flags = segment.flags
         if flags & BOUNCED or flags & (SYN | ACK) == SYN | ACK:
-            # Callers send neither; an upstream would treat the packet as forged.
+            # Callers send neither, and an upstream would treat the packet as forged.
             return []
         if self._routes is None:
             self._early_packets.add(segment, now=now)
@@ -180,7 +181,9 @@
             Actions to perform.
         """
         early = self._early_packets.take(now=now)
-        return [x for segment in early for x in self.on_segment(segment, now=now)]
+        return [
+            action for segment in early for action in self.on_segment(segment, now=now)
+        ]
 
     def on_verdict(
         self, agent: Peer, verdict: FlowVerdict, *, now: float
@@ -228,10 +231,10 @@
         return list(actions)
 
     def encode_owners(self) -> list[bytes]:
-        """Encodes the owners of all flows for the balancers that succeed this one.
+        """Encodes announcements of all owners for the successors of this balancer.
 
         Returns:
-            Messages that each of them receives.
+            Messages to send to each successor.
         """
         flows_by_agent: dict[str, list[bytes]] = {}
         for record in self._records:
@@ -283,7 +286,7 @@
         return record.lookup if record is not None else None
 
     def retry_held(self, *, now: float) -> list[Action]:
-        """Offers the held opening packets again; call it when an agent becomes ready.
+        """Offers the held opening packets again, after an agent has become ready.
 
         Args:
             now: Clock reading, seconds.
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -57,16 +57,17 @@
 EVACUATIONS_PATH = "/evacuations"
 # Longest member id of an agent, so that the store accepts the key of its flow snapshot.
 MAX_MEMBER_ID_LENGTH = 100
-# Agents only track whether the balancer is alive, and receive messages with each flow.
-AGENT_STATUS_SECONDS = 5.0
-# Balancers announce their configuration version to each other: one that the store
-# rejects is out of date for this interval and the time to fetch the configuration.
-BALANCER_STATUS_SECONDS = 0.5
+# Agents use heartbeats of a balancer only for failure detection, and receive messages
+# with each flow.
+AGENT_HEARTBEAT_INTERVAL_SECONDS = 5.0
+# Heartbeats of balancers announce their configuration version: a balancer rejected by
+# the store is out of date for this interval and the time to fetch the configuration.
+BALANCER_HEARTBEAT_INTERVAL_SECONDS = 0.5
 FETCH_TIMEOUT_SECONDS = 1.0
-DEPARTURE_STEP_SECONDS = 0.05
-# Most datagrams with which a leaving balancer announces the owners of its flows: one
-# for each agent and successor. 400 of about 150 bytes occupy a link of 7 Mbit/s for
-# 70 ms; owners of the other flows are looked up.
+SHUTDOWN_CHECK_INTERVAL_SECONDS = 0.05
+# Limit of datagrams in which a terminating balancer announces the owners of its flows:
+# one for each agent and successor. 400 of about 150 bytes occupy a link of 7 Mbit/s for
+# 70 ms; owners of the remaining flows are looked up.
 MAX_OWNERSHIP_ANNOUNCEMENTS = 400
 
 
@@ -117,7 +118,7 @@
                 ),
                 log=self.log,
             ),
-            on_reading=self._apply_reading,
+            on_configuration=self._apply_received,
             random=self.random,
             log=self.log,
         )
@@ -129,16 +130,16 @@
         self._is_fetching = False
         self._catch_up = CatchUp()
         self._agent_schedule = self.new_heartbeat_schedule(
-            interval=AGENT_STATUS_SECONDS
+            interval=AGENT_HEARTBEAT_INTERVAL_SECONDS
         )
         self._balancer_schedule = self.new_heartbeat_schedule(
-            interval=BALANCER_STATUS_SECONDS
+            interval=BALANCER_HEARTBEAT_INTERVAL_SECONDS
         )
         self._received_at = self.clock()
-        self._departure: GracefulShutdown | None = None
+        self._graceful_shutdown: GracefulShutdown | None = None
 
     def on_start(self) -> None:
-        """Starts forwarding; it becomes ready with a configuration and ready agents."""
+        """Starts to forward packets, follow the configuration and write snapshots."""
         super().on_start()
         self.owns(self._follower.stop)
         self.owns(self._cancel_fetch)
@@ -168,12 +169,12 @@
         return self._flows.routes.version if self._flows.routes else 0
 
     def begin_shutdown(self) -> None:
-        """Starts to leave: not ready once its domain has enough other balancers."""
-        self._departure = GracefulShutdown(
+        """Starts the shutdown; see `GracefulShutdown`."""
+        self._graceful_shutdown = GracefulShutdown(
             started_at=self.clock(),
             shutdown_grace_seconds=self.node_settings.shutdown_grace_seconds,
         )
-        self._depart(self.clock())
+        self._advance_shutdown(self.clock())
         self._update_state()
 
     def on_message(
@@ -230,30 +231,35 @@
             self._flows.next_due(),
             self._balancer_schedule.next_due,
             self._agent_schedule.next_due,
-            self._depart(now),
+            self._advance_shutdown(now),
         )
 
     def _update_state(self) -> None:
         state = MemberState.READY if self._can_place_flows else MemberState.JOINING
-        if self._departure is not None and self._departure.has_begun:
+        if (
+            self._graceful_shutdown is not None
+            and self._graceful_shutdown.reports_not_ready
+        ):
             state = MemberState.DRAINING
         if self.change_member(state=state, weight=self.member.weight, slots=1):
             self.send_status(self.fleet.balancers())
 
-    def _depart(self, now: float) -> float:
-        if self._departure is None:
+    def _advance_shutdown(self, now: float) -> float:
+        if self._graceful_shutdown is None:
             return float("inf")
         peers = [
             peer
             for peer in self.fleet.balancers()
             if peer.member.failure_domain == self.member.failure_domain
         ]
-        had_begun = self._departure.has_begun
-        if self._departure.may_end(peers, received_at=self._received_at, now=now):
+        reported_not_ready = self._graceful_shutdown.reports_not_ready
+        if self._graceful_shutdown.advance(
+            peers, received_at=self._received_at, now=now
+        ):
             self.stopping.set()
-        if self._departure.has_begun and not had_begun:
+        if self._graceful_shutdown.reports_not_ready and not reported_not_ready:
             self._announce_owners(peers)
-        return now + DEPARTURE_STEP_SECONDS
+        return now + SHUTDOWN_CHECK_INTERVAL_SECONDS
 
     def _announce_owners(self, peers: list[Peer]) -> None:
         """Announces the owners of this balancer's flows to its successors.
@@ -287,37 +293,37 @@
             return
         self.perform(self._flows.on_segment(segment, now=now))
 
-    def _apply_reading(self, reading: ReceivedConfiguration) -> None:
+    def _apply_received(self, received: ReceivedConfiguration) -> None:
         try:
-            routes = decode_configuration(reading.value)
+            routes = decode_configuration(received.value)
         except BadMessageError as error:
             # Keeps the current version: an older configuration is better than none.
             self.log.fact(
-                "configuration refused", source=reading.source, error=str(error)
+                "configuration refused", source=received.source, error=str(error)
             )
             return
 
-        self.loop.call(lambda: self.configure(routes, reading))
+        self.loop.call(lambda: self.configure(routes, received))
 
-    def configure(self, routes: RouteTable, reading: ReceivedConfiguration) -> None:
+    def configure(self, routes: RouteTable, received: ReceivedConfiguration) -> None:
         """Applies a configuration unless it is out of date; runs on the loop's thread.
 
         Args:
             routes: The configuration.
-            reading: Its encoded form, for peers that can't read it from the store.
+            received: Its encoded form, for peers that can't read it from the store.
         """
         is_newer = self._flows.configure(routes)
         self.log.fact(
             "configuration in force" if is_newer else "configuration held already",
             version=routes.version,
             routes=len(routes.routes_by_address),
-            source=reading.source,
-            bytes=len(reading.value),
-            seconds=round(reading.seconds, 3),
+            source=received.source,
+            bytes=len(received.value),
+            seconds=round(received.seconds, 3),
         )
         if not is_newer:
             return
-        self._configuration_value = reading.value
+        self._configuration_value = received.value
         self._balancer_schedule.expedite()
         self.perform(self._flows.process_early_packets(now=self.clock()))
 
@@ -366,7 +372,7 @@
             )
             if response.status == 200:
                 seconds = client.transfer.seconds
-                self._apply_reading(
+                self._apply_received(
                     ReceivedConfiguration(response.body, peer_id, seconds)
                 )
         except OSError as error:
--- a/src/siskinshift/connections/configuration_catch_up.py
+++ b/src/siskinshift/connections/configuration_catch_up.py
@@ -4,7 +4,7 @@
 
 
 # While the store responds, changes reach all balancers within milliseconds of each
-# other; a balancer that has not begun to read by then is refused by the store. Far
+# other, so the store has refused a balancer that has not begun to read by then. Far
 # below the three seconds within which a change has to be in force.
 FETCH_AFTER_SECONDS = 0.4
 # A starting balancer has no configuration to continue with. The store responds in 4 ms,
@@ -13,11 +13,11 @@
 
 
 class CatchUp:
-    """Decides by the versions that peers announce and the progress of the own read.
+    """Tracks the versions that peers announce and how long this balancer is behind.
 
     A balancer on a link of 7 Mbit/s needs 1.1 s to read 4,246 routes, while peers on
-    faster links have the change at once. Fetching a peer's copy while the own read is
-    in progress would delay both, since they share the link.
+    faster links have the change at once. Fetching a peer's copy while the read from the
+    store is in progress would delay both, since they share the link.
     """
 
     def __init__(self) -> None:
@@ -39,9 +39,9 @@
         Args:
             announced: Version that the peer holds.
             held: Version in force here; 0 for none.
-            last_progress_at: Time at which the newest part of the own read arrived,
-                seconds.
-            is_failing: Whether the last own read failed.
+            last_progress_at: Time at which the newest part of the read from the store
+                arrived, seconds.
+            is_failing: Whether the last read from the store failed.
             now: Clock reading, seconds.
 
         Returns:
--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -34,7 +34,7 @@
 
 @frozen
 class ReceivedConfiguration:
-    """A configuration as it was read, and the time that this took.
+    """An encoded configuration from the store or a peer, with its transfer time.
 
     Attributes:
         value: Value of the entry in the store.
@@ -70,7 +70,7 @@
 
 
 class ConfigurationFollower:
-    """Reads once and then watches for changes of both kinds with one watch."""
+    """Reads configuration and evacuations, then follows both with one watch."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         prefix: str,
         key: str,
         evacuations: EvacuationReader,
-        on_reading: Callable[[ReceivedConfiguration], object],
+        on_configuration: Callable[[ReceivedConfiguration], object],
         random: Random,
         log: EventLog,
     ) -> None:
@@ -89,9 +89,9 @@
             store: The store; its responses are not older than the request.
             prefix: Prefix of all entries that operators write.
             key: Key of the configuration.
-            evacuations: Reader that is given each read and each change before the
-                configuration.
-            on_reading: Called with each configuration that was read, newest last.
+            evacuations: Reader of evacuations, called with each read and each change
+                before `on_configuration`.
+            on_configuration: Called with each configuration that was read, newest last.
             random: Source of the jitter.
             log: Event log.
         """
@@ -99,7 +99,7 @@
         self._prefix = prefix
         self._key = key
         self._evacuations = evacuations
-        self._on_reading = on_reading
+        self._on_configuration = on_configuration
         self._log = log
         self._availability = StoreAvailability(
             "configuration", retry=RETRY_BACKOFF, random=random, log=log
@@ -176,7 +176,7 @@
             # start.
             snapshot = self._store.list_prefix(self._prefix)
             self._availability.record_success()
-            self._evacuations.read(snapshot)
+            self._evacuations.apply_snapshot(snapshot)
             known = self._read_revision
             for entry in snapshot.entries:
                 if entry.key == self._key:
@@ -188,5 +188,5 @@
 
     def _handle_entry(self, entry: Entry, transfer: Transfer) -> None:
         self._read_revision = entry.revision
-        reading = ReceivedConfiguration(entry.value, seconds=transfer.seconds)
-        self._on_reading(reading)
+        received = ReceivedConfiguration(entry.value, seconds=transfer.seconds)
+        self._on_configuration(received)
--- a/src/siskinshift/connections/early_packets.py
+++ b/src/siskinshift/connections/early_packets.py
@@ -1,8 +1,8 @@
 """Buffers callers' packets until a balancer has its first configuration.
 
 Without the buffer callers would wait 0.2 to 1.6 s for their next retransmission
-although the balancer is ready. Older packets are dropped: their callers may have given
-up, and the others retransmit.
+although the balancer is ready. Older packets are dropped: their callers have given up
+or will retransmit.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
         self._packets.append((now, segment))
 
     def take(self, *, now: float) -> list[Segment]:
-        """Removes all packets and returns those that are recent enough.
+        """Removes all packets and returns the recent ones.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            The packets whose callers still wait.
+            Packets that arrived within the last `MAX_EARLY_SECONDS`.
         """
         recent = [
             segment
--- a/src/siskinshift/connections/evacuation_reader.py
+++ b/src/siskinshift/connections/evacuation_reader.py
@@ -44,8 +44,8 @@
         self._log = log
         self._domains_by_key: dict[str, str] = {}
 
-    def read(self, snapshot: Snapshot) -> None:
-        """Replaces all entries by those of a read.
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
+        """Replaces all entries by those of a complete read.
 
         Args:
             snapshot: The entries; those with another prefix are ignored.
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -27,7 +27,7 @@
 
 # Shortest interval between two heartbeats to one peer. It need not be shorter, since
 # opening packets to a dead agent are retried elsewhere after tens of milliseconds.
-STATUS_INTERVAL_SECONDS = 0.5
+MIN_HEARTBEAT_INTERVAL_SECONDS = 0.5
 # A link that loses one message in forty practically never loses five in a row.
 UNRESPONSIVE_AFTER_INTERVALS = 5
 # Delay up to which a heartbeat counts as late rather than lost.
@@ -85,7 +85,7 @@
     load: Load = NO_LOAD
     flows_since_load: int = 0
     configuration_version: int = 0
-    next_heartbeat_within: float = STATUS_INTERVAL_SECONDS
+    next_heartbeat_within: float = MIN_HEARTBEAT_INTERVAL_SECONDS
     queried_at: float = float("inf")
     unanswered_openings: int = 0
     key: int = 0
@@ -103,7 +103,7 @@
 
     @property
     def was_idle(self) -> bool:
-        """Whether, by its last message, it surely held no flow and accepted none."""
+        """Whether it last reported to certainly hold no flow, and is not ready."""
         is_open = self.member.state is MemberState.READY
         return self.load.is_certain and not self.load.flows and not is_open
 
@@ -148,14 +148,14 @@
         self._agents_by_class: dict[str, list[Peer]] = {}
 
     def is_complete(self, *, now: float) -> bool:
-        """Returns whether a member that is not a known peer does not exist.
+        """Returns whether all existing members are known peers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether the store was read, or a peer with a complete list has sent it, or
-            the time within which peers announce themselves has passed.
+            Whether the store was read, or a peer has sent its complete list, or the
+            time within which peers announce themselves has passed.
         """
         if self._is_complete:
             return True
@@ -230,7 +230,7 @@
             return False
         peer.configuration_version = message.configuration_version
         peer.next_heartbeat_within = max(
-            message.next_heartbeat_within, STATUS_INTERVAL_SECONDS
+            message.next_heartbeat_within, MIN_HEARTBEAT_INTERVAL_SECONDS
         )
         self.record_message(peer, now=now)
         self.update_load(peer, message.load)
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -48,7 +48,7 @@
             was not seen.
         service_ids: Services that may hold the flow by the configuration.
         owner: Agent whose upstream holds the flow, once known.
-        was_owner_refuted: Whether an agent that counted as the owner was not.
+        was_owner_refuted: Whether the presumed owner did not confirm its ownership.
         opening: The opening packet, until the flow is open.
         opened_at: Time of arrival of the opening packet, seconds.
         attempts: Attempts to open the flow, one per agent.
@@ -76,8 +76,8 @@
     def sole_acceptor(self) -> Peer | None:
         """The agent that accepted the flow, if it was the only attempt.
 
-        Another balancer may have tried other agents as well. The assumed owner then
-        reports that it is not the owner and is no longer returned.
+        Another balancer may have offered the flow to other agents as well. The presumed
+        owner then denies the flow and is no longer returned.
         """
         if self.was_owner_refuted:
             return None
--- a/src/siskinshift/connections/flow_snapshot.py
+++ b/src/siskinshift/connections/flow_snapshot.py
@@ -1,10 +1,10 @@
-"""Stores a snapshot of an agent's long flows, which outlives the instance.
+"""Stores a snapshot of an agent's long-lived flows, which outlives the instance.
 
 When an instance loses power, the upstream and the agent's memory are lost together, and
-no process can tell which callers still hold flows to it. An idle caller would detect
-the loss only with its next request, and a request that may not be repeated would be
-lost. With the snapshot, the restarted agent probes the new upstream with each flow, so
-that callers of lost flows are reset before their next request.
+no process has a record of the callers that still hold flows to it. An idle caller would
+detect the loss only with its next request, and a request that may not be repeated would
+be lost. With the snapshot, the restarted agent probes the new upstream with each flow,
+so that callers of lost flows are reset before their next request.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 SNAPSHOT_PREFIX = "siskinshift/flows/"
-# A flow opened after the last write is not in the snapshot.
+# Flows opened since the last write are missing in the snapshot.
 UPLOAD_INTERVAL_SECONDS = 2.0
 # Interval of an agent without a writer, which costs one request of each agent.
 WRITE_INTERVAL_SECONDS = 4.0
@@ -41,15 +41,15 @@
 _SIZE_BYTES = 2
 # A snapshot with the upstream's incarnation begins with a size that no packet has, then
 # the length of the id, the start in Unix milliseconds (0 if unknown) and the id.
-_NAMED = bytes(_SIZE_BYTES)
+_INCARNATION_MARKER = bytes(_SIZE_BYTES)
 _START_BYTES = 8
-_NAME_HEADER_BYTES = len(_NAMED) + 1 + _START_BYTES
+_INCARNATION_HEADER_BYTES = len(_INCARNATION_MARKER) + 1 + _START_BYTES
 _MAX_ID_BYTES = 255
 
 
 @frozen
 class FlowSnapshot:
-    """An agent's long flows.
+    """An agent's long-lived flows.
 
     Attributes:
         packets: One repeatable packet of each flow, all of the same size.
@@ -77,7 +77,7 @@
         Args:
             store: The store.
             member_id: Id of the agent.
-            flows: Returns the long flows.
+            flows: Returns the long-lived flows.
             upload: Uploads the snapshot to a writer; the second argument states whether
                 the last write was the same snapshot by a writer. Returns whether the
                 snapshot is written.
@@ -112,7 +112,7 @@
         return decode_snapshot(entry.value) if entry else FlowSnapshot()
 
     def step(self, *, now: float, is_urgent: bool = False) -> None:
-        """Has the snapshot written if it has changed or a renewal is due.
+        """Uploads or writes the snapshot if it has changed or a renewal is due.
 
         Args:
             now: Clock reading, seconds.
@@ -220,17 +220,19 @@
 
 
 def _encode_incarnation(incarnation: Incarnation | None) -> bytes:
-    name = incarnation.upstream_id.encode() if incarnation else b""
-    if incarnation is None or not 0 < len(name) <= _MAX_ID_BYTES:
+    upstream_id = incarnation.upstream_id.encode() if incarnation else b""
+    if incarnation is None or not 0 < len(upstream_id) <= _MAX_ID_BYTES:
         return b""
     started_ms = (incarnation.started_ms or 0).to_bytes(_START_BYTES, "big")
-    return _NAMED + bytes((len(name),)) + started_ms + name
+    return _INCARNATION_MARKER + bytes((len(upstream_id),)) + started_ms + upstream_id
 
 
 def _decode_incarnation(value: bytes) -> tuple[Incarnation | None, bytes]:
-    if not value.startswith(_NAMED):
+    if not value.startswith(_INCARNATION_MARKER):
         return None, value
-    end = _NAME_HEADER_BYTES + value[len(_NAMED)]
-    started_ms = int.from_bytes(value[len(_NAMED) + 1 : _NAME_HEADER_BYTES], "big")
-    name = value[_NAME_HEADER_BYTES:end].decode()
-    return Incarnation(name, started_ms or None), value[end:]
+    end = _INCARNATION_HEADER_BYTES + value[len(_INCARNATION_MARKER)]
+    started_ms = int.from_bytes(
+        value[len(_INCARNATION_MARKER) + 1 : _INCARNATION_HEADER_BYTES], "big"
+    )
+    upstream_id = value[_INCARNATION_HEADER_BYTES:end].decode()
+    return Incarnation(upstream_id, started_ms or None), value[end:]
--- a/src/siskinshift/connections/graceful_shutdown.py
+++ b/src/siskinshift/connections/graceful_shutdown.py
@@ -3,8 +3,8 @@
 Balancers are restarted one after the other. Routers take one that reports not ready out
 of rotation, but as soon as fewer than half of a failure domain's balancers are ready,
 they send to all of them again, including the stopped ones. Without the wait below, the
-second of three that terminates sends a third of the domain's packets to the first one,
-which is not ready again yet.
+termination of the second of three would send a third of the domain's packets to the
+first one, which is not ready again yet.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 # Routers probe every half second, and two failures take a balancer out of rotation.
 ROTATION_SECONDS = 1.6
-# Packets that routers sent before that have arrived after this.
+# Packets in transit have arrived if no caller's packet was received for this time.
 QUIET_SECONDS = 0.5
 # Reserved for clean-up before the process is killed.
 CLEANUP_SECONDS = 0.8
@@ -45,14 +45,14 @@
     not_ready_at: float | None = None
 
     @property
-    def has_begun(self) -> bool:
+    def reports_not_ready(self) -> bool:
         """Whether the balancer reports not ready."""
         return self.not_ready_at is not None
 
-    def may_end(
+    def advance(
         self, peers: Collection[Peer], *, received_at: float, now: float
     ) -> bool:
-        """Reports not ready when possible and returns whether the process may end.
+        """Starts to report not ready if peers allow it; returns whether to exit.
 
         Args:
             peers: The other balancers of the failure domain.
@@ -60,7 +60,7 @@
             now: Clock reading, seconds.
 
         Returns:
-            Whether the process may end now.
+            Whether the process may exit now.
         """
         end_by = self.started_at + self.shutdown_grace_seconds - CLEANUP_SECONDS
         if self.not_ready_at is None:
@@ -79,5 +79,5 @@
         peer.member.state is MemberState.READY and not peer.is_unresponsive(now=now)
         for peer in peers
     )
-    # A balancer without peers need not wait: neighbouring domains take over.
+    # Without peers in the domain, balancers of neighbouring domains take over.
     return not peers or 2 * ready >= len(peers) + 1
--- a/src/siskinshift/connections/heartbeat_schedule.py
+++ b/src/siskinshift/connections/heartbeat_schedule.py
@@ -17,13 +17,12 @@
 from siskinshift.connections.fleet import Peer
 
 
-# To peers of the own failure domain; up to a dozen of them get one twice a second.
-NEAR_HEARTBEATS_PER_SECOND = 24.0
-# To all other peers.
-FAR_HEARTBEATS_PER_SECOND = 12.0
-# Interval between two batches to the peers of other domains, which spreads the
-# heartbeats.
-BATCH_SECONDS = 0.25
+# Limit to peers of the own failure domain: up to a dozen get one twice a second.
+LOCAL_HEARTBEATS_PER_SECOND = 24.0
+# Limit to all other peers.
+REMOTE_HEARTBEATS_PER_SECOND = 12.0
+# Heartbeats to the peers of other domains are spread over batches at this interval.
+REMOTE_BATCH_INTERVAL_SECONDS = 0.25
 
 
 @frozen
@@ -32,7 +31,7 @@
 
     Attributes:
         peers: Recipients of the heartbeat.
-        next_heartbeat_within: Seconds within which they get the next one.
+        next_heartbeat_within: Seconds within which the next heartbeat follows.
     """
 
     peers: Sequence[Peer]
@@ -51,19 +50,19 @@
         """
         self._failure_domain = failure_domain
         self._interval = interval
-        self._near_due = float("-inf")
-        self._far_due = float("-inf")
-        self._far_index = 0
-        self._far_credit = 0.0
+        self._local_due = float("-inf")
+        self._remote_due = float("-inf")
+        self._remote_index = 0
+        self._remote_credit = 0.0
 
     @property
     def next_due(self) -> float:
         """Clock reading at which `due` is needed next, seconds."""
-        return min(self._near_due, self._far_due)
+        return min(self._local_due, self._remote_due)
 
     def expedite(self) -> None:
         """Makes the heartbeats to the own failure domain due at once."""
-        self._near_due = float("-inf")
+        self._local_due = float("-inf")
 
     def due(self, peers: Sequence[Peer], *, now: float) -> list[HeartbeatRound]:
         """Returns the heartbeats that are due.
@@ -76,27 +75,29 @@
             Peers of the own failure domain, and a batch of the other peers.
         """
         rounds = []
-        if now >= self._near_due:
-            near = [peer for peer in peers if self._is_near(peer)]
-            interval = self._interval_for(len(near), NEAR_HEARTBEATS_PER_SECOND)
-            self._near_due = now + interval
-            rounds.append(HeartbeatRound(near, interval))
-        if now >= self._far_due:
-            self._far_due = now + BATCH_SECONDS
-            rounds.append(self._far_batch([p for p in peers if not self._is_near(p)]))
-        return [each for each in rounds if each.peers]
-
-    def _far_batch(self, far: list[Peer]) -> HeartbeatRound:
-        interval = self._interval_for(len(far), FAR_HEARTBEATS_PER_SECOND)
-        self._far_credit += len(far) * BATCH_SECONDS / interval
-        count = min(math.floor(self._far_credit), len(far))
-        self._far_credit -= count
-        start = self._far_index % len(far) if far else 0
-        self._far_index = start + count
-        return HeartbeatRound((far + far)[start : start + count], interval)
+        if now >= self._local_due:
+            local = [peer for peer in peers if self._is_local(peer)]
+            interval = self._interval_for(len(local), LOCAL_HEARTBEATS_PER_SECOND)
+            self._local_due = now + interval
+            rounds.append(HeartbeatRound(local, interval))
+        if now >= self._remote_due:
+            self._remote_due = now + REMOTE_BATCH_INTERVAL_SECONDS
+            rounds.append(
+                self._remote_batch([p for p in peers if not self._is_local(p)])
+            )
+        return [heartbeat_round for heartbeat_round in rounds if heartbeat_round.peers]
+
+    def _remote_batch(self, remote: list[Peer]) -> HeartbeatRound:
+        interval = self._interval_for(len(remote), REMOTE_HEARTBEATS_PER_SECOND)
+        self._remote_credit += len(remote) * REMOTE_BATCH_INTERVAL_SECONDS / interval
+        count = min(math.floor(self._remote_credit), len(remote))
+        self._remote_credit -= count
+        start = self._remote_index % len(remote) if remote else 0
+        self._remote_index = start + count
+        return HeartbeatRound((remote + remote)[start : start + count], interval)
 
     def _interval_for(self, count: int, rate: float) -> float:
         return max(self._interval, count / rate)
 
-    def _is_near(self, peer: Peer) -> bool:
+    def _is_local(self, peer: Peer) -> bool:
         return peer.member.failure_domain == self._failure_domain
--- a/src/siskinshift/connections/incarnation.py
+++ b/src/siskinshift/connections/incarnation.py
@@ -1,4 +1,7 @@
-"""Compares incarnations, the starts of an upstream; no other module does."""
+"""Identifies and compares incarnations, the starts of an upstream.
+
+No other module compares ids or start times of upstreams.
+"""
 
 from __future__ import annotations
 
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -1,4 +1,4 @@
-"""The base class of the nodes for connection flows: balancers and agents."""
+"""The base class of the nodes for connection flows, balancers and agents."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 class ConnectionNode(LifeCycle):
-    """Owns the sockets, peers, registration and life cycle of a node."""
+    """Base of the nodes, with their sockets, peers, registration and life cycle."""
 
     def __init__(self, settings: NodeSettings, *, role: Role) -> None:
         """Initializes the node and binds its sockets.
@@ -126,7 +126,7 @@
         self._accept_hosts_until = self.clock() + ACCEPT_HOSTS_SECONDS
         self._removed_at = float("-inf")
         self._hello_sent_at = float("-inf")
-        self.is_leaving = False
+        self.is_shutting_down = False
 
     def on_start(self) -> None:
         """Starts the HTTP servers, the event handlers and the registration."""
@@ -137,7 +137,7 @@
         own = Endpoint(self.node_settings.host, self.node_settings.peer_port)
         self.serve(own, self.handle_peer_request)
         if self.node_settings.readiness is not None:
-            self.serve(self.node_settings.readiness, self._answer_readiness)
+            self.serve(self.node_settings.readiness, self._handle_readiness_request)
         self.spawn(self._maintain_registration)
 
     def add_sockets(self) -> None:
@@ -177,7 +177,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform may send work to this node."""
+        """Whether the node reports to the platform that it is ready."""
         raise NotImplementedError
 
     @property
@@ -492,14 +492,14 @@
         metrics.set_gauge("log_lines_dropped", self.log.dropped)
         return HttpReply(200, metrics.render().encode(), METRICS_TYPE)
 
-    def _answer_readiness(self, request: HttpRequest) -> HttpReply:
+    def _handle_readiness_request(self, request: HttpRequest) -> HttpReply:
         if request.path != READINESS_PATH:
             return HttpReply(404)
         return HttpReply(200 if self.is_ready else 503)
 
     def _on_stop_signal(self) -> None:
-        if self.is_leaving:
+        if self.is_shutting_down:
             return
-        self.is_leaving = True
+        self.is_shutting_down = True
         self.log.fact("leaving")
         self.begin_shutdown()
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -1,4 +1,4 @@
-"""Holds the state of an agent's flows and the records of flow snapshots."""
+"""The state of one flow at an agent, and the records of flow snapshots."""
 
 from __future__ import annotations
 
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -4,8 +4,8 @@
 sending each flow's packet to all agents of a service takes 45 packets a flow in a fleet
 of 56 agents, while the weakest links carry 5 Mbit/s. A flow is placed on one of a few
 agents selected by its hash, so those receive the packet first: four packets find nearly
-all owners. The other agents are queried only if these deny the flow or do not reply.
-They receive a query of 17 bytes, and the packets only if they may hold the flow.
+all owners. The remaining agents are queried only if these deny the flow or do not
+reply. They receive a query of 17 bytes, and a packet only if they may hold the flow.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _MASK = (1 << 64) - 1
 # Time until the next batch is queried; a verdict takes one to three milliseconds.
-BATCH_SECONDS = 0.03
+QUERY_BATCH_INTERVAL_SECONDS = 0.03
 # A live agent replies within this time even if it was unresponsive before.
 REPLY_WINDOW_SECONDS = 0.1
-# Largest fraction of the queried agents that may be unresponsive while the denials of
-# the others still count for all. Instances that fail together belong to one failure
-# domain, a third to a fifth of all; beyond that the cause is more likely this
-# balancer's own link or processor, which is overloaded.
+# Largest fraction of the queried agents that may be unresponsive in a conclusive
+# lookup. Instances that fail together belong to one failure domain, a third to a fifth
+# of all; beyond that the cause is more likely this balancer's own link or processor,
+# which is overloaded.
 MAX_UNRESPONSIVE_FRACTION = 0.25
 # Packets kept for a lookup; a caller has at most sixteen in flight.
-MAX_PACKETS = 16
+MAX_LOOKUP_PACKETS = 16
 
 
 def home_agents(agents: Sequence[Peer], flow: bytes) -> list[Peer]:
@@ -128,7 +128,7 @@
                     self.queried_without_packets |= new_ids
                 self.pending |= new_ids
                 self.queried_at = now
-                self.next_batch_at = now + BATCH_SECONDS
+                self.next_batch_at = now + QUERY_BATCH_INTERVAL_SECONDS
                 return new
             if is_last:
                 return []
@@ -150,7 +150,7 @@
         Args:
             packet: The packet; a copy of a stored packet is ignored.
         """
-        if packet not in self.packets and len(self.packets) < MAX_PACKETS:
+        if packet not in self.packets and len(self.packets) < MAX_LOOKUP_PACKETS:
             self.packets.append(packet)
 
     def was_sent_packets(self, member_id: str) -> bool:
--- a/src/siskinshift/connections/peer_discovery.py
+++ b/src/siskinshift/connections/peer_discovery.py
@@ -1,7 +1,7 @@
 """Discovers the other nodes when the store is unavailable at a node's start.
 
 All nodes of a failure domain may restart during an outage of the store. Seeds from the
-settings and known peers send the hosts that they know, the node sends a hello to each,
+settings and known peers send lists of their hosts, the node sends a hello to each host,
 and each replies with its status. A host takes four bytes, so that a seed on the slowest
 link can send hundreds of hosts to each of hundreds of nodes.
 """
@@ -27,7 +27,7 @@
 
 
 class PeerDiscovery:
-    """Collects the hosts that peers list, and lists known hosts to peers."""
+    """Collects host lists of peers and creates those for peers."""
 
     def __init__(self, fleet: Fleet, *, own: Member) -> None:
         """Initializes the discovery without hosts.
@@ -101,13 +101,13 @@
             now: Clock reading, seconds.
 
         Returns:
-            Whether a peer with a complete list has sent it whole, and each listed host
-            has replied or missed its reply timeout.
+            Whether a peer has sent its whole complete list, and each listed host has
+            replied or missed its reply timeout.
         """
         return self._has_complete_list and not self.unconfirmed_hosts(now=now)
 
     def known_hosts_for(self, requester: Member, *, now: float) -> list[KnownHosts]:
-        """Returns the hosts that this node knows, for a peer that requested them.
+        """Returns the hosts of the known members, for a peer that requested them.
 
         Args:
             requester: The peer; an agent is sent only the balancers.
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -78,10 +78,9 @@
 
 @frozen
 class OwnershipAnnouncement:
-    """Announces an agent's flows to a balancer that has no record of them.
+    """Announces the owner of flows to a balancer that has no record of them.
 
-    A leaving balancer sends it to its successors, an agent to a balancer that has
-    restarted.
+    A terminating balancer sends it to its successors, an agent to a restarted balancer.
 
     Attributes:
         member_id: The agent.
--- a/src/siskinshift/connections/recent_packets.py
+++ b/src/siskinshift/connections/recent_packets.py
@@ -1,10 +1,10 @@
 """Keeps packets that a balancer sent recently, to resend them after an agent restart.
 
-An agent that restarts while its upstream runs on is unavailable for half a second to a
-second. Packets sent to it are lost, and callers retransmit after 0.2, 0.4 and 0.8 s, so
-a request from the start of the gap would wait for the next retransmission although the
-agent is available again. Resending the packets at once limits the delay to the gap; an
-upstream that has received them already treats them as duplicates.
+An agent that restarts while its upstream keeps running is unavailable for half a second
+to a second. Packets sent to it are lost, and callers retransmit after 0.2, 0.4 and
+0.8 s, so a request from the start of the gap would wait for the next retransmission
+although the agent is available again. Resending the packets at once limits the delay to
+the gap; an upstream that has received them already treats them as duplicates.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 MAX_PACKET_AGE_SECONDS = 1.5
 # 1.2 KB each, so 0.6 MB at most; a balancer of the largest fleet forwards about 500
 # packets with data in that time.
-MAX_PACKETS = 512
+MAX_RECENT_PACKETS = 512
 
 
 @frozen
@@ -32,7 +32,7 @@
     """A bounded list of the most recent packets with data."""
 
     def __init__(self) -> None:
-        self._packets: deque[_SentPacket] = deque(maxlen=MAX_PACKETS)
+        self._packets: deque[_SentPacket] = deque(maxlen=MAX_RECENT_PACKETS)
 
     def add(self, member_id: str, datagram: bytes, *, now: float) -> None:
         """Adds a packet.
@@ -63,6 +63,6 @@
         ]
         self._packets = deque(
             (packet for packet in self._packets if packet.member_id != member_id),
-            maxlen=MAX_PACKETS,
+            maxlen=MAX_RECENT_PACKETS,
         )
         return missed
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -7,7 +7,7 @@
 
 Members are read at the start, and again while one of them is unresponsive, to detect
 that its entry has expired. Otherwise they are not read, since the volume would grow
-with the fleet, and new nodes announce themselves to all members that they have read.
+with the fleet, and new nodes announce themselves to all members in the store.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 # keep lost nodes registered, and starting nodes would wait for their replies about
 # flows.
 LEASE_SECONDS = 6.0
-# Leaves as long again for further attempts; a renewal costs a tenth of another request.
+# Leaves half of the lease for retries; a renewal costs a tenth of another request.
 RENEW_INTERVAL_SECONDS = 3.0
 # Interval at which the node checks its own entry and, while a member is unresponsive,
 # reads the members again.
@@ -240,7 +240,7 @@
     def _check_own_entry(self) -> None:
         own = self._own()
         key = member_key(own.member_id, own.role)
-        # A cheap read may be older than the entry.
+        # A stale read is cheap but may be older than the entry.
         if self._store.get_stale(key) is None and self._store.get(key) is None:
             self._log.fact("entry missing", lease=self._lease_id)
             self._lease_id = 0
--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -1,4 +1,4 @@
-"""Chooses the request that an upstream gets next and queues the others at the agent.
+"""Queues requests at the agent and chooses the one that the upstream gets next.
 
 After a fault all callers return at once to upstreams that are still cold, or a burst
 reaches upstreams of one to three slots. An upstream queues a few requests in order of
@@ -7,7 +7,7 @@
 as well.
 
 The agent therefore forwards as many requests as there are slots, and one more so that
-no slot idles, and queues the others. A flow carries one request at a time: the caller
+no slot idles, and queues the rest. A flow carries one request at a time: the caller
 sends data, and the upstream responds with data. The next request is, in this order:
 
 1. one that is late and has used up most of the time until its deadline, so that late
@@ -20,7 +20,7 @@
 still be close to its caller's deadline.
 
 A request whose deadline has passed, or will pass before a response is possible, is
-dropped, since running it would take a slot from the others.
+dropped, since it would occupy a slot that another request could use.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 MEAN_SMOOTHING_FACTOR = 0.05
 # Requests beyond this limit go to the upstream, which refuses them.
 MAX_WAITING_REQUESTS = 400
-# Used for flows whose balancer sent no deadline; that of a long download.
+# Deadline of requests whose balancer sent none; that of a long download.
 DEFAULT_DEADLINE_SECONDS = 3.0
 
 
--- a/src/siskinshift/connections/routes.py
+++ b/src/siskinshift/connections/routes.py
@@ -1,4 +1,4 @@
-"""Routing table of the operators' configuration: service addresses and targets."""
+"""The routing table: service addresses with their targets and request parameters."""
 
 from __future__ import annotations
 
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -11,6 +11,7 @@
 ACK = 2
 FIN = 4
 RESET = 8
+# Set in a packet that the upstream returns: it is full or does not hold the flow.
 BOUNCED = 16
 
 FLOW_SIZE = 12
@@ -24,7 +25,7 @@
     Attributes:
         flow: Identity of the flow, the same for both directions: the caller's port,
             the service's address, the caller's address, the service's port.
-        flags: SYN, ACK, FIN, RESET and BOUNCED.
+        flags: A combination of SYN, ACK, FIN, RESET and BOUNCED.
         seq: Sequence number of the sender.
         ack: Acknowledged sequence number; in a SYN, the number of retransmissions.
         length: Bytes of data.
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -31,12 +31,12 @@
     from siskinshift.observability.event_log import EventLog
 
 
-# Followed by the name of an agent; the body of the request is its snapshot.
+# Followed by the member id of an agent; the body of the request is its snapshot.
 SNAPSHOT_PATH = "/flow-list/"
-# Query string of a snapshot whose last write was the same one by this writer.
+# Query string of a snapshot that is the same as in its last write by this writer.
 UNCHANGED_QUERY = "again"
 # Snapshots that arrive within this time are written together.
-BATCH_SECONDS = 1.0
+WRITE_BATCH_INTERVAL_SECONDS = 1.0
 # The time of one batch, and of one request to a slow store.
 WRITE_TIMEOUT_SECONDS = 2.5
 # Maximum of operations that the platform's store accepts in a transaction.
@@ -55,7 +55,7 @@
     """Chooses the balancer that writes an agent's snapshot.
 
     Args:
-        agent_key: Hash of the agent's name.
+        agent_key: Hash of the agent's member id.
         balancers: Balancers of its failure domain.
         now: Clock reading, seconds.
 
@@ -137,7 +137,7 @@
         Args:
             stopping: Ends the loop when set.
         """
-        while not stopping.wait(BATCH_SECONDS):
+        while not stopping.wait(WRITE_BATCH_INTERVAL_SECONDS):
             self.step()
         with self._lock:
             self._is_stopped = True
@@ -172,8 +172,8 @@
     def _renew_lease(self) -> None:
         """Replaces the lease periodically instead of renewing it.
 
-        With one lease, snapshots of agents that are gone for good would remain as long
-        as this balancer runs. A snapshot moves to the new lease when its agent uploads
+        With one lease, snapshots of removed agents would remain as long as this
+        balancer runs. A snapshot moves to the new lease when its agent uploads
         it the next time, and otherwise expires with the old one.
         """
         now = self._clock()
@@ -199,15 +199,15 @@
                 new.append(member_id)
         for start in range(0, len(new), SNAPSHOTS_PER_TRANSACTION):
             batch = {
-                name: pending[name]
-                for name in new[start : start + SNAPSHOTS_PER_TRANSACTION]
+                member_id: pending[member_id]
+                for member_id in new[start : start + SNAPSHOTS_PER_TRANSACTION]
             }
             puts = tuple(
-                Put(snapshot_key(name), snapshot.value, self._lease_id)
-                for name, snapshot in batch.items()
+                Put(snapshot_key(member_id), snapshot.value, self._lease_id)
+                for member_id, snapshot in batch.items()
             )
             self._store.transact((), puts)
             self._written_by_member |= {
-                n: snapshot.value for n, snapshot in batch.items()
+                member_id: snapshot.value for member_id, snapshot in batch.items()
             }
             self._resolve(batch, is_written=True)
--- a/src/siskinshift/connections/store_availability.py
+++ b/src/siskinshift/connections/store_availability.py
@@ -13,7 +13,7 @@
 
 
 class StoreAvailability:
-    """Logs the loss and the recovery of the store, and paces the attempts between."""
+    """Logs the loss and recovery of the store and computes the pauses of retries."""
 
     def __init__(
         self, subject: str, *, retry: Backoff, random: Random, log: EventLog
--- a/src/siskinshift/connections/warm_up.py
+++ b/src/siskinshift/connections/warm_up.py
@@ -40,7 +40,7 @@
             return True
         while self._admitted_at and now - self._admitted_at[0] > WINDOW_SECONDS:
             self._admitted_at.popleft()
-        # A rate below one per second still lets the upstream warm up.
+        # At a rate below one per second, one flow still warms up the upstream.
         if is_cold and len(self._admitted_at) >= max(1, int(self.rate)):
             return False
         self._admitted_at.append(now)
