--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -34,7 +34,7 @@
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
 from siskinshift.connections.segment import format_flow
-from siskinshift.connections.segment import is_after
+from siskinshift.connections.segment import is_at_or_after
 from siskinshift.connections.warm_up import WarmUpLimit
 
 
@@ -53,7 +53,7 @@
 
 
 # Interval at which expired flows are removed.
-SWEEP_SECONDS = 2.0
+SWEEP_INTERVAL_SECONDS = 2.0
 
 
 class AgentFlows:
@@ -331,7 +331,7 @@
         return actions
 
     def _sweep(self, *, now: float) -> None:
-        if now - self._swept_at < SWEEP_SECONDS:
+        if now - self._swept_at < SWEEP_INTERVAL_SECONDS:
             return
         self._swept_at = now
         self._flows.sweep(now=now)
@@ -460,7 +460,7 @@
             # reset or not at all, so the request must not occupy a slot until it
             # counts as stuck.
             return True
-        is_new = flow.next_caller_sequence is None or is_after(
+        is_new = flow.next_caller_sequence is None or is_at_or_after(
             segment.seq, flow.next_caller_sequence
         )
         if is_new:
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -57,7 +57,7 @@
 MAX_ATTEMPTS = 4
 # Longest time that an opening packet is held while no agent can accept it. Callers
 # retransmit after 200 ms, which offers the flow again.
-HOLD_SECONDS = 0.25
+MAX_HOLD_SECONDS = 0.25
 # Most opening packets held at once, to bound the memory.
 MAX_HELD_PACKETS = 2000
 # Retries after a missing reply that one accepted flow allows. The agents of a failure
@@ -318,7 +318,8 @@
                 actions += self._retry(record, now=now)
         actions += self._finder.tick(now=now)
         while (
-            self._held_records and now - self._held_records[0].opened_at > HOLD_SECONDS
+            self._held_records
+            and now - self._held_records[0].opened_at > MAX_HOLD_SECONDS
         ):
             actions += self._refuse(self._held_records.popleft())
         self._records.drop_idle(now=now)
@@ -334,7 +335,7 @@
         if self._retry_timers:
             due = min(due, self._retry_timers[0][0])
         if self._held_records:
-            due = min(due, self._held_records[0].opened_at + HOLD_SECONDS)
+            due = min(due, self._held_records[0].opened_at + MAX_HOLD_SECONDS)
         return due
 
     def _on_unrouted(self, segment: Segment) -> list[Action]:
@@ -437,7 +438,7 @@
             return self._refuse(record)
         if (
             len(self._held_records) >= MAX_HELD_PACKETS
-            or now - record.opened_at > HOLD_SECONDS
+            or now - record.opened_at > MAX_HOLD_SECONDS
         ):
             return self._refuse(record)
         # All agents have refused; the flow may be offered to each of them again.
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -7,7 +7,7 @@
 
 from siskinshift.connections.balancer_flows import BalancerFlows
 from siskinshift.connections.configuration_catch_up import CatchUp
-from siskinshift.connections.configuration_follower import STORE
+from siskinshift.connections.configuration_follower import STORE_SOURCE
 from siskinshift.connections.configuration_follower import ConfigurationFollower
 from siskinshift.connections.configuration_follower import ReceivedConfiguration
 from siskinshift.connections.evacuation_dissemination import EvacuationDissemination
@@ -114,7 +114,7 @@
                 prefix=EVACUATIONS_PREFIX,
                 decode_domain=decode_evacuated_domain,
                 on_evacuations=lambda evacuations: self.loop.call(
-                    lambda: self.evacuate(evacuations, source=STORE)
+                    lambda: self.evacuate(evacuations, source=STORE_SOURCE)
                 ),
                 log=self.log,
             ),
--- a/src/siskinshift/connections/configuration_follower.py
+++ b/src/siskinshift/connections/configuration_follower.py
@@ -29,7 +29,7 @@
 # A change must be in force within three seconds of the store's recovery.
 RETRY_BACKOFF = Backoff(0.1, 0.6)
 # Source of a configuration that was not received from a peer.
-STORE = "store"
+STORE_SOURCE = "store"
 
 
 @frozen
@@ -43,7 +43,7 @@
     """
 
     value: bytes
-    source: str = STORE
+    source: str = STORE_SOURCE
     seconds: float = 0.0
 
 
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -67,7 +67,7 @@
 # stopped querying, so the sender is not one of the queried peers.
 ACCEPT_HOSTS_SECONDS = 5.0
 SEED_INTERVAL_SECONDS = 0.5
-QUERIED_PEERS = 2
+MAX_QUERIED_PEERS = 2
 REMOVAL_INTERVAL_SECONDS = 1.0
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4"
@@ -459,7 +459,9 @@
         self._has_queried = True
         self._query_seeds_at = now + SEED_INTERVAL_SECONDS
         known_hosts = [peer.address[0] for peer in self.fleet.balancers()]
-        queried = self.random.sample(known_hosts, min(QUERIED_PEERS, len(known_hosts)))
+        queried = self.random.sample(
+            known_hosts, min(MAX_QUERIED_PEERS, len(known_hosts))
+        )
         # All nodes have the same seeds, so no more load is put on them once all peers
         # are known, as after a read of the store.
         has_all_peers = self.fleet.is_complete(now=now)
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -8,7 +8,7 @@
 from siskinshift.connections.segment import SEQUENCE_SPACE
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
-from siskinshift.connections.segment import is_after
+from siskinshift.connections.segment import is_at_or_after
 from siskinshift.connections.segment import is_between
 
 
@@ -82,7 +82,7 @@
                 self.min_ack = self.max_ack = follows
             else:
                 self.adopt_at(follows)
-        elif is_after(follows, self.max_ack):
+        elif is_at_or_after(follows, self.max_ack):
             self.max_ack = follows
 
     def adopt_at(self, number: int) -> None:
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -27,7 +27,7 @@
 
 # Agents of a failure domain that a flow's hash selects. Two are compared for a new
 # flow, which leaves two more if those refuse or fail.
-HOME_AGENTS = 4
+HOME_AGENTS_PER_FLOW = 4
 # Odd multiplier for multiplicative hashing: one multiplication ranks an agent for a
 # flow, whereas a hash of each name would cost more than the rest of an opening.
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
@@ -55,7 +55,7 @@
     Returns:
         A few of them, the same on every balancer that has the same list of agents.
     """
-    if len(agents) <= HOME_AGENTS:
+    if len(agents) <= HOME_AGENTS_PER_FLOW:
         return list(agents)
 
     seed = xxhash.xxh3_64_intdigest(flow)
@@ -63,7 +63,7 @@
     def rank(agent: Peer) -> int:
         return (agent.key ^ seed) * _HASH_MULTIPLIER & _MASK
 
-    return heapq.nsmallest(HOME_AGENTS, agents, key=rank)
+    return heapq.nsmallest(HOME_AGENTS_PER_FLOW, agents, key=rank)
 
 
 @define(eq=False)
--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -42,7 +42,7 @@
 # A request that has run this long no longer counts against the slots: its response may
 # have been lost with its upstream, and the slot must not stay occupied forever.
 # Requests of the sites take 0.6 s at most.
-STUCK_SECONDS = 1.5
+STUCK_AFTER_SECONDS = 1.5
 # Fraction of the time until the deadline after which a late request goes first. A late
 # response is still useful, but each one that goes first makes a new request late.
 DUE_FRACTION = 0.8
@@ -223,7 +223,7 @@
         limit = self.slots + EXTRA_REQUESTS
         if len(self._started_at_by_flow) < limit:
             return True
-        stuck_before = now - STUCK_SECONDS
+        stuck_before = now - STUCK_AFTER_SECONDS
         running = sum(at > stuck_before for at in self._started_at_by_flow.values())
         return running < limit
 
--- a/src/siskinshift/connections/segment.py
+++ b/src/siskinshift/connections/segment.py
@@ -117,7 +117,7 @@
     return (number - lowest) % SEQUENCE_SPACE <= (highest - lowest) % SEQUENCE_SPACE
 
 
-def is_after(number: int, reference: int) -> bool:
+def is_at_or_after(number: int, reference: int) -> bool:
     """Returns whether a sequence number follows another one, or equals it.
 
     Args:
--- a/src/siskinshift/connections/snapshot_upload.py
+++ b/src/siskinshift/connections/snapshot_upload.py
@@ -18,7 +18,7 @@
     from siskinshift.observability.event_log import EventLog
 
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 # The writer's own timeout and the round trip.
 RESPONSE_TIMEOUT_SECONDS = WRITE_TIMEOUT_SECONDS + 0.5
 
@@ -90,6 +90,6 @@
         ):
             self.close()
             self._client = HttpClient(
-                endpoint.host, endpoint.port, connect_timeout=CONNECT_SECONDS
+                endpoint.host, endpoint.port, connect_timeout=CONNECT_TIMEOUT_SECONDS
             )
         return self._client
--- a/src/siskinshift/connections/snapshot_writer.py
+++ b/src/siskinshift/connections/snapshot_writer.py
@@ -40,7 +40,7 @@
 # The time of one batch, and of one request to a slow store.
 WRITE_TIMEOUT_SECONDS = 2.5
 # Maximum of operations that the platform's store accepts in a transaction.
-SNAPSHOTS_PER_TRANSACTION = 32
+MAX_SNAPSHOTS_PER_TRANSACTION = 32
 # Half of it is longer than the interval at which an agent uploads its snapshot again,
 # and the other half longer than a usual power loss of an instance.
 LEASE_SECONDS = 45.0
@@ -197,10 +197,10 @@
                 snapshot.written.set_result(True)
             else:
                 new.append(member_id)
-        for start in range(0, len(new), SNAPSHOTS_PER_TRANSACTION):
+        for start in range(0, len(new), MAX_SNAPSHOTS_PER_TRANSACTION):
             batch = {
                 member_id: pending[member_id]
-                for member_id in new[start : start + SNAPSHOTS_PER_TRANSACTION]
+                for member_id in new[start : start + MAX_SNAPSHOTS_PER_TRANSACTION]
             }
             puts = tuple(
                 Put(snapshot_key(member_id), snapshot.value, self._lease_id)
--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -178,11 +178,11 @@
             # No heartbeat has arrived yet, since the agent has restarted.
             self.incarnation = ended
         relation = ended.relation_to(self.incarnation)
-        is_present = relation is Relation.SAME
+        is_current = relation is Relation.SAME
         if relation is Relation.UNKNOWN:
-            is_present = self.is_leaving
-        self._add_ended(self.incarnation if is_present else ended)
-        if not is_present:
+            is_current = self.is_leaving
+        self._add_ended(self.incarnation if is_current else ended)
+        if not is_current:
             return False
         self.is_leaving = True
         self.is_gone = True
