--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -347,7 +347,7 @@
             return [self._refuse(Verdict.WRONG_SERVICE, segment.flow, sender)]
         flow = self._flows.get(segment.flow)
         if self.is_evacuated and (flow is None or not flow.is_confirmed):
-            # Applies to copies as well: earlier packets of the flow may have been lost.
+            # Also a retransmission, since the earlier packets may have been lost.
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
         if flow is None and (self.is_draining or not self._upstream.accepts(now=now)):
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
@@ -465,8 +465,8 @@
         )
         if is_new:
             flow.next_caller_sequence = (segment.seq + segment.length) % SEQUENCE_SPACE
-        is_copy = not is_new and segment.flow not in self._queue
-        if is_copy or self._queue.is_running(segment.flow):
+        is_retransmission = not is_new and segment.flow not in self._queue
+        if is_retransmission or self._queue.is_running(segment.flow):
             return True
         return self._queue.submit(
             segment.flow, segment.seq, segment.datagram, parameters, now=now
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -303,7 +303,7 @@
         self._update_member(now)
         self._apply_restart_check(self._upstream_restart_check.on_heartbeat(heartbeat))
         if effect is HeartbeatEffect.REPLACED:
-            # This process has seen all flows of the new incarnation. The next process
+            # This process tracks all flows of the new incarnation. The next process
             # must not apply a snapshot of an earlier incarnation to it.
             self.flows.mark_all_known()
             self._is_snapshot_urgent.set()
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -58,10 +58,10 @@
 # Longest time that an opening packet is held while no agent can accept it. Callers
 # retransmit after 200 ms, which offers the flow again.
 MAX_HOLD_SECONDS = 0.25
-# Most opening packets held at once, to bound the memory.
+# Limit of opening packets held at a time, to bound the memory.
 MAX_HELD_PACKETS = 2000
 # Retries after a missing reply that one accepted flow allows. The agents of a failure
-# domain, a third of all, may fail at once: two accepted flows allow the retry of one
+# domain, a third of all, may fail together: two accepted flows allow the retry of one
 # that was offered to a failed agent. Attempts do not multiply while no agent replies.
 RETRY_FRACTION = 0.5
 
@@ -341,11 +341,11 @@
     def _on_unrouted(self, segment: Segment) -> list[Action]:
         if segment.flags & RESET:
             return []
-        is_first_copy = segment.flags & SYN and segment.ack == 0
+        is_first = segment.flags & SYN and segment.ack == 0
         was_dropped = service_address(segment.flow) in self._dropped_addresses
-        if is_first_copy and not was_dropped:
-            # The route may be new: the caller's next copy, 200 ms later, is routed or
-            # refused.
+        if is_first and not was_dropped:
+            # The route may be new: the caller's retransmission, 200 ms later, is routed
+            # or refused.
             return []
         self._records.drop(segment.flow)
         self._log.decision(
@@ -375,7 +375,7 @@
             and not self._placement.is_evacuated(attempt.agent)
         ]
         if accepted:
-            # The reply to the caller was lost; the upstream replies to a copy as well.
+            # The reply to the caller was lost; the upstream replies again.
             return [
                 self._forwarding.to_agent(
                     a.agent, Purpose.OPEN, segment.datagram, record
--- a/src/siskinshift/connections/configuration_catch_up.py
+++ b/src/siskinshift/connections/configuration_catch_up.py
@@ -16,8 +16,8 @@
     """Tracks the versions that peers announce and how long this balancer is behind.
 
     A balancer on a link of 7 Mbit/s needs 1.1 s to read 4,246 routes, while peers on
-    faster links have the change at once. Fetching a peer's copy while the read from the
-    store is in progress would delay both, since they share the link.
+    faster links have the change at once. Fetching it from a peer during the read from
+    the store would delay both, since they share the link.
     """
 
     def __init__(self) -> None:
--- a/src/siskinshift/connections/evacuation_dissemination.py
+++ b/src/siskinshift/connections/evacuation_dissemination.py
@@ -1,8 +1,9 @@
 """Decides to which peers a balancer sends the evacuations that it holds.
 
 A failure domain may have a thousand agents and hundreds of balancers. A few balancers,
-chosen by consistent hashing, send a change to each agent at once. Every other balancer
-sends it with the agent's next message, once for each incarnation and revision.
+chosen by consistent hashing, send a change to each agent immediately. Every other
+balancer replies with it to the agent's next message, once for each incarnation and
+revision.
 """
 
 from __future__ import annotations
@@ -24,7 +25,8 @@
     from siskinshift.connections.fleet import Peer
 
 
-# Number of balancers that send a change to an agent at once; two messages may be lost.
+# Balancers that send a change to an agent immediately; two of their messages may be
+# lost.
 SENDERS_PER_AGENT = 3
 
 
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -394,5 +394,5 @@
     if new.incarnation == old.incarnation:
         return new.version > old.version
     # Incarnations come from the wall clock, which may jump back, so a restarted member
-    # may have a lower one than before. Its own messages are applied all the same.
+    # may have a lower one than before. Its own messages are always applied.
     return is_from_member or new.incarnation > old.incarnation
--- a/src/siskinshift/connections/flow_records.py
+++ b/src/siskinshift/connections/flow_records.py
@@ -44,8 +44,8 @@
 
     Attributes:
         flow: The flow.
-        service_id: Service that was drawn for the flow; empty if its opening packet
-            was not seen.
+        service_id: Service that was selected for the flow; empty if its opening packet
+            was not received.
         service_ids: Services that may hold the flow by the configuration.
         owner: Agent whose upstream holds the flow, once known.
         was_owner_refuted: Whether the presumed owner did not confirm its ownership.
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -89,7 +89,7 @@
         """Adopts a flow that opened before this process tracked it.
 
         The upstream holds the flow, so no other one can, and the range may be wide. It
-        has to be, since the first packet seen may be a copy of an old one.
+        has to be, since the first packet may be a retransmission of an old one.
 
         Args:
             number: A sequence number that the upstream has reached.
--- a/src/siskinshift/connections/owned_flows.py
+++ b/src/siskinshift/connections/owned_flows.py
@@ -12,7 +12,7 @@
     from siskinshift.connections.request_queue import RequestQueue
 
 
-# Ended flows are kept this long for delayed copies of their last packets.
+# Ended flows are kept this long for delayed retransmissions of their last packets.
 LINGER_SECONDS = 3.0
 # A flow of this age is one that its caller keeps open for many requests.
 LONG_LIVED_AFTER_SECONDS = 1.5
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -40,12 +40,12 @@
 LOOKUP_LINK_FRACTION = 0.15
 MAX_LOOKUP_BYTES_PER_SECOND = 500_000.0
 LOOKUP_BURST_SECONDS = 1.0
-# Delay of a lookup for which the link budget is exhausted; the caller's next copy
-# arrives after 200 ms or more.
+# Delay of a lookup for which the link budget is exhausted; the caller retransmits after
+# 200 ms or more.
 LOOKUP_RETRY_SECONDS = 0.1
-# Longest duration of a lookup: by then the caller's next copy has arrived or the caller
-# has given up, and an agent that has not replied is unresponsive. The pause doubles,
-# which allows five rounds among all agents.
+# Longest duration of a lookup: by then the caller has retransmitted or given up, and an
+# agent that has not replied is unresponsive. The pause doubles, which allows five
+# rounds among all agents.
 MAX_LOOKUP_SECONDS = 2.0
 # Longest pause between two queries to agents that have not replied.
 MAX_REQUERY_PAUSE_SECONDS = 0.4
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -148,7 +148,7 @@
         """Adds a packet of the flow.
 
         Args:
-            packet: The packet; a copy of a stored packet is ignored.
+            packet: The packet; a retransmission of a stored one is ignored.
         """
         if packet not in self.packets and len(self.packets) < MAX_LOOKUP_PACKETS:
             self.packets.append(packet)
--- a/src/siskinshift/connections/ownership_probes.py
+++ b/src/siskinshift/connections/ownership_probes.py
@@ -11,9 +11,9 @@
 
 
 # An upstream that holds a flow responds to some of its packets within this time, unless
-# all of its callers wait. It is probed further in either case.
+# it keeps all of its callers waiting. It is probed further in either case.
 OVERDUE_AFTER_SECONDS = 0.5
-# Probes expire after this; a flow whose packets keep coming becomes suspect again.
+# Probes expire after this; a flow with further packets becomes suspect again.
 PROBE_TTL_SECONDS = 4.0
 
 
@@ -38,8 +38,8 @@
 
         An upstream that received the opening packet, but whose response the caller
         did not choose, still responds with its own sequence numbers. Without this
-        check its agent counted as the owner, and the copies of a caller's last packet
-        were sent only there.
+        check its agent counted as the owner, and retransmissions of a caller's last
+        packet were sent only there.
 
         Args:
             segment: The packet.
--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -1,6 +1,6 @@
 """Queues requests at the agent and chooses the one that the upstream gets next.
 
-After a fault all callers return at once to upstreams that are still cold, or a burst
+After a fault all callers return simultaneously to upstreams that are cold, or a burst
 reaches upstreams of one to three slots. An upstream queues a few requests in order of
 arrival and refuses the rest. Callers then use up their retries within a second, and
 while the upstream works off requests that are already late, each new one becomes late
--- a/src/siskinshift/connections/upstream_restart_check.py
+++ b/src/siskinshift/connections/upstream_restart_check.py
@@ -20,10 +20,10 @@
     """Compares the first heartbeat with the snapshot of the previous process.
 
     A cold upstream whose incarnation differs from the one in the snapshot holds no flow
-    that this process has not seen: all flows of an upstream pass through its agent, and
-    an agent writes a new incarnation to its snapshot as soon as it receives a heartbeat
-    of it. Without a snapshot the check is inconclusive, since the previous process may
-    have ended before it wrote one.
+    that this process does not track: all flows of an upstream pass through its agent,
+    and an agent writes a new incarnation to its snapshot as soon as it receives a
+    heartbeat of it. Without a snapshot the check is inconclusive, since the previous
+    process may have ended before it wrote one.
     """
 
     def __init__(self) -> None:
--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -2,8 +2,8 @@
 
 Each start of an upstream is an incarnation: an id, which a later start may reuse, and
 the time of the start. Heartbeats may be delayed: one of an ended incarnation must not
-bring it back, and an older one of the same incarnation must not revert its leaving
-state. Sequence numbers of heartbeats restart with each incarnation.
+make it current again, and an older one of the same incarnation must not revert its
+leaving state. Sequence numbers of heartbeats restart with each incarnation.
 """
 
 from __future__ import annotations
