--- a/src/siskinshift/connections/node_settings.py
+++ b/src/siskinshift/connections/node_settings.py
@@ -16,13 +16,13 @@
         call_rate: Average number of requests that a client may send a second; a
             balancer has two clients, one of them for the configuration.
         call_burst: Number of requests that a client may send at once.
-        min_lease_seconds: Minimum time to live of a lease, seconds.
+        lease_minimum: Minimum time to live of a lease, seconds.
     """
 
     endpoint: Endpoint
     call_rate: float
     call_burst: int
-    min_lease_seconds: float
+    lease_minimum: float
 
 
 @frozen
--- a/src/siskinshift/platform/settings.py
+++ b/src/siskinshift/platform/settings.py
@@ -197,5 +197,5 @@
         endpoint=fields.endpoint("address"),
         call_rate=CALL_RATE,
         call_burst=CALL_BURST,
-        min_lease_seconds=lease_ms / MILLISECONDS_PER_SECOND,
+        lease_minimum=lease_ms / MILLISECONDS_PER_SECOND,
     )
--- a/src/siskinshift/platform/store.py
+++ b/src/siskinshift/platform/store.py
@@ -201,7 +201,7 @@
 
     def grant_lease(self, ttl: float) -> Lease:
         """Grants a lease; see KeyValueStore. It expires if the response is lost."""
-        ttl = max(ttl, self._settings.min_lease_seconds)
+        ttl = max(ttl, self._settings.lease_minimum)
         body = {"ttl-ms": round(ttl * MILLISECONDS_PER_SECOND)}
         document = _decode_document(self._request("POST", "/kv-lease", body))
         try:
