--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -193,7 +193,7 @@
         upstream=None,
         service_id="",
         heartbeat_interval=1.0,
-        shutdown_grace_seconds=6.0,
+        leave_seconds=6.0,
         link_bytes_per_second=125e6,
         store=StoreSettings(Endpoint(BALANCER, 1), 10.0, 20, 1.0),
     )
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -172,7 +172,7 @@
         """Starts the shutdown; see `GracefulShutdown`."""
         self._graceful_shutdown = GracefulShutdown(
             started_at=self.clock(),
-            shutdown_grace_seconds=self.node_settings.shutdown_grace_seconds,
+            leave_seconds=self.node_settings.leave_seconds,
         )
         self._advance_shutdown(self.clock())
         self._update_state()
--- a/src/siskinshift/connections/graceful_shutdown.py
+++ b/src/siskinshift/connections/graceful_shutdown.py
@@ -36,12 +36,12 @@
 
     Attributes:
         started_at: Time at which the shutdown was requested, seconds.
-        shutdown_grace_seconds: Time from then until the process is killed.
+        leave_seconds: Time from then until the process is killed.
         not_ready_at: Time since which it has reported not ready; None before.
     """
 
     started_at: float
-    shutdown_grace_seconds: float
+    leave_seconds: float
     not_ready_at: float | None = None
 
     @property
@@ -62,7 +62,7 @@
         Returns:
             Whether the process may exit now.
         """
-        end_by = self.started_at + self.shutdown_grace_seconds - CLEANUP_SECONDS
+        end_by = self.started_at + self.leave_seconds - CLEANUP_SECONDS
         if self.not_ready_at is None:
             must_begin = now >= end_by - ROTATION_SECONDS
             if must_begin or _can_spare_one(peers, now=now):
--- a/src/siskinshift/connections/node_settings.py
+++ b/src/siskinshift/connections/node_settings.py
@@ -46,8 +46,8 @@
         upstream: Endpoint on which the upstream receives packets; None for a balancer.
         service_id: Service of the upstream; empty for a balancer.
         heartbeat_interval: Seconds between two heartbeats of an upstream.
-        shutdown_grace_seconds: Time from the termination signal until the process is
-            killed.
+        leave_seconds: Shutdown grace period: time from the termination signal until
+            the process is killed.
         link_bytes_per_second: Bandwidth of the instance's own link in each direction.
         store: Settings of the platform's store.
     """
@@ -65,6 +65,6 @@
     upstream: Endpoint | None
     service_id: str
     heartbeat_interval: float
-    shutdown_grace_seconds: float
+    leave_seconds: float
     link_bytes_per_second: float
     store: StoreSettings
--- a/src/siskinshift/platform/settings.py
+++ b/src/siskinshift/platform/settings.py
@@ -184,7 +184,7 @@
         upstream=fields.optional_endpoint("app"),
         service_id=fields.text("service", ""),
         heartbeat_interval=heartbeat_ms / MILLISECONDS_PER_SECOND,
-        shutdown_grace_seconds=bounds.number("grace-s", minimum=0.1, maximum=3600),
+        leave_seconds=bounds.number("grace-s", minimum=0.1, maximum=3600),
         link_bytes_per_second=limits.number("link-mbps", minimum=0.01, maximum=1e6)
         * BYTES_PER_MEGABIT,
         store=_decode_store(fields.table("platform")),
