--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -17,7 +17,7 @@
 from attrs import frozen
 
 from siskinshift.connections.balancer_node import BalancerNode
-from siskinshift.connections.configuration_follower import ConfigurationReading
+from siskinshift.connections.configuration_follower import ReceivedConfiguration
 from siskinshift.connections.node_settings import NodeSettings
 from siskinshift.connections.node_settings import StoreSettings
 from siskinshift.connections.peer_codec import encode_status
@@ -89,7 +89,7 @@
             self._agent_sockets.append(agent_socket)
             status = encode_status(Status(_make_agent(f"agent-{number}", host), Load()))
             agent_socket.sendto(status, (BALANCER, PEER_PORT))
-        self._node.configure(_make_routes(), ConfigurationReading(b""))
+        self._node.configure(_make_routes(), ReceivedConfiguration(b""))
         self._time_turn()
         self._port = 1024
         self._ports = [self._open() for _ in range(FLOW_COUNT)]
@@ -222,7 +222,7 @@
         name="editor",
         address=SERVICE_ADDRESS,
         targets=(Target("editor", 1),),
-        terms=RequestParameters(objective=0.1, deadline=0.5, urgency=1),
+        request_parameters=RequestParameters(objective=0.1, deadline=0.5, urgency=1),
         is_single_request=False,
     )
     return RouteTable(version=1, routes_by_address={SERVICE_ADDRESS: route})
--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -1,9 +1,10 @@
 """Decides at an agent how to handle each packet of its upstream's flows.
 
 A flow belongs to the upstream whose initial sequence number the caller acknowledged.
-The agent sees that number in the upstream's response, so it can tell its own flows from
-those of other upstreams without a query to peers. A restarted agent has no flow state
-and relies on its upstream, which returns a packet of a flow that it does not hold.
+The agent reads that number from the upstream's response, so it distinguishes its own
+flows from those of other upstreams without querying peers. A restarted agent has no
+flow state and relies on its upstream, which returns packets of flows that it does not
+hold.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
 from siskinshift.connections.segment import format_flow
-from siskinshift.connections.segment import is_after
+from siskinshift.connections.segment import is_at_or_after
 from siskinshift.connections.warm_up import WarmUpLimit
 
 
@@ -52,11 +53,11 @@
 
 
 # Interval at which expired flows are removed.
-SWEEP_SECONDS = 2.0
+SWEEP_INTERVAL_SECONDS = 2.0
 
 
 class AgentFlows:
-    """Flows of the upstream beside one agent.
+    """Flows of one agent's upstream.
 
     Attributes:
         is_draining: Whether new flows are refused because the agent is shutting down.
@@ -95,7 +96,7 @@
 
     @property
     def load(self) -> Load:
-        """Open flows, those with a waiting caller, and whether they are certain."""
+        """Open flows, unanswered requests, and whether all flows are tracked."""
         return Load(
             self._flows.open_count,
             len(self._queue),
@@ -124,43 +125,45 @@
         if flow is None:
             return self._probe_ownership(forward, segment, sender, now=now)
         if not flow.matches_acknowledgement(segment.ack):
-            # The caller chose the response of another upstream.
+            # The caller accepted the response of another upstream.
             if segment.flags & RESET:
                 return []
             return [self._reject_foreign(forward, segment, sender)]
         flow.last_balancer = sender
         actions: list[Action] = []
-        if self._record_caller_packet(flow, segment, forward.terms, now=now):
+        if self._record_caller_packet(
+            flow, segment, forward.request_parameters, now=now
+        ):
             actions.append(ToUpstream(segment.datagram))
-        if forward.purpose is Purpose.SEARCH:
+        if forward.purpose is Purpose.LOOKUP:
             actions.append(self._verdict_to(Verdict.MINE, segment.flow, sender))
         if segment.flags & (FIN | RESET):
             # The caller may have cancelled a request that occupied a slot.
             actions += self._start_requests(now=now)
         return actions
 
-    def on_question(
-        self, question: OwnerQuery, sender: tuple[str, int], *, now: float
+    def on_owner_query(
+        self, query: OwnerQuery, sender: tuple[str, int], *, now: float
     ) -> list[Action]:
-        """Answers a query for the owner of a flow from the agent's own state.
+        """Replies to an owner query from the agent's own state.
 
         Args:
-            question: The query.
+            query: The query.
             sender: Address of the balancer.
             now: Clock reading, seconds.
 
         Returns:
             The reply.
         """
-        flow = self._flows.get(question.flow)
+        flow = self._flows.get(query.flow)
         if flow is not None:
-            is_own = flow.matches_acknowledgement(question.acknowledged)
+            is_own = flow.matches_acknowledgement(query.acknowledged)
             verdict = Verdict.MINE if is_own else Verdict.NOT_MINE
-        elif self._foreign_flows.has(question.flow, now=now):
+        elif self._foreign_flows.has(query.flow, now=now):
             verdict = Verdict.NOT_MINE
         else:
             verdict = Verdict.UNSURE
-        return [self._verdict_to(verdict, question.flow, sender)]
+        return [self._verdict_to(verdict, query.flow, sender)]
 
     def on_upstream_segment(self, segment: Segment, *, now: float) -> list[Action]:
         """Handles a packet of the upstream.
@@ -232,9 +235,9 @@
     def flows_via(self, balancer: tuple[str, int]) -> list[bytes]:
         """Returns the open flows whose newest packet came from a balancer.
 
-        A restarted balancer that receives this list needs no owner lookups. Routers
-        send it the same flows again, hundreds within a second, and on a link of
-        5 Mbit/s the queries for them alone would take seconds.
+        A restarted balancer that receives them needs no owner lookups. Routers send it
+        the same flows as before, hundreds within a second, and on a link of 5 Mbit/s
+        the queries for them alone would take seconds.
 
         Args:
             balancer: Address of the balancer.
@@ -272,7 +275,7 @@
         return []
 
     def mark_all_known(self) -> None:
-        """Records that this process has seen every flow of the upstream."""
+        """Records that this process tracks every flow of the upstream."""
         self._foreign_flows.treats_unknown_as_foreign = True
 
     def on_upstream_gone(self, *, now: float) -> list[Action]:
@@ -328,7 +331,7 @@
         return actions
 
     def _sweep(self, *, now: float) -> None:
-        if now - self._swept_at < SWEEP_SECONDS:
+        if now - self._swept_at < SWEEP_INTERVAL_SECONDS:
             return
         self._swept_at = now
         self._flows.sweep(now=now)
@@ -344,7 +347,7 @@
             return [self._refuse(Verdict.WRONG_SERVICE, segment.flow, sender)]
         flow = self._flows.get(segment.flow)
         if self.is_evacuated and (flow is None or not flow.is_confirmed):
-            # Applies to copies as well: earlier packets of the flow may have been lost.
+            # Also refuses a retransmission: earlier packets may have been lost.
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
         if flow is None and (self.is_draining or not self._upstream.accepts(now=now)):
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
@@ -363,7 +366,7 @@
             return []
         if self._foreign_flows.has(segment.flow, now=now):
             return [self._reject_foreign(forward, segment, sender)]
-        is_lookup = forward.purpose is Purpose.SEARCH
+        is_lookup = forward.purpose is Purpose.LOOKUP
         probe = self._probes.add(
             segment.flow, sender, segment.ack, is_lookup=is_lookup, now=now
         )
@@ -384,7 +387,7 @@
     ) -> ToPeer:
         # A balancer that runs an owner lookup keeps the packet. One that treats this
         # agent as the owner gets it back for other agents.
-        packet = b"" if forward.purpose is Purpose.SEARCH else segment.datagram
+        packet = b"" if forward.purpose is Purpose.LOOKUP else segment.datagram
         return self._verdict_to(Verdict.NOT_MINE, segment.flow, sender, packet)
 
     def _on_foreign_reply(
@@ -457,13 +460,13 @@
             # reset or not at all, so the request must not occupy a slot until it
             # counts as stuck.
             return True
-        is_new = flow.next_caller_sequence is None or is_after(
+        is_new = flow.next_caller_sequence is None or is_at_or_after(
             segment.seq, flow.next_caller_sequence
         )
         if is_new:
             flow.next_caller_sequence = (segment.seq + segment.length) % SEQUENCE_SPACE
-        is_copy = not is_new and segment.flow not in self._queue
-        if is_copy or self._queue.is_running(segment.flow):
+        is_retransmission = not is_new and segment.flow not in self._queue
+        if is_retransmission or self._queue.is_running(segment.flow):
             return True
         return self._queue.submit(
             segment.flow, segment.seq, segment.datagram, parameters, now=now
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -20,9 +20,9 @@
 from siskinshift.connections.flow_records import FlowRecords
 from siskinshift.connections.forwarding import Forwarding
 from siskinshift.connections.owner_finder import OwnerFinder
-from siskinshift.connections.peer_codec import encode_all_owned
+from siskinshift.connections.peer_codec import encode_ownership_announcements
 from siskinshift.connections.peer_codec import encode_warm_up_rate
-from siskinshift.connections.peer_messages import Owned
+from siskinshift.connections.peer_messages import OwnershipAnnouncement
 from siskinshift.connections.peer_messages import Purpose
 from siskinshift.connections.peer_messages import Verdict
 from siskinshift.connections.peer_messages import WarmUpRate
@@ -52,15 +52,16 @@
 # A verdict takes one to three milliseconds; a busy instance replies within this time.
 # The second agent can still meet an objective of 100 ms.
 RETRY_AFTER_SECONDS = 0.04
-# Most agents to which one flow is offered: three failed ones at once are an outage.
+# Limit of agents to which one flow is offered: three simultaneous failures of agents
+# are an outage.
 MAX_ATTEMPTS = 4
 # Longest time that an opening packet is held while no agent can accept it. Callers
 # retransmit after 200 ms, which offers the flow again.
-HOLD_SECONDS = 0.25
-# Most opening packets held at once, to bound the memory.
+MAX_HOLD_SECONDS = 0.25
+# Limit of opening packets held at a time, to bound the memory.
 MAX_HELD_PACKETS = 2000
 # Retries after a missing reply that one accepted flow allows. The agents of a failure
-# domain, a third of all, may fail at once: two accepted flows allow the retry of one
+# domain, a third of all, may fail together: two accepted flows allow the retry of one
 # that was offered to a failed agent. Attempts do not multiply while no agent replies.
 RETRY_FRACTION = 0.5
 
@@ -143,7 +144,7 @@
         """
         flags = segment.flags
         if flags & BOUNCED or flags & (SYN | ACK) == SYN | ACK:
-            # Callers send neither; an upstream would treat the packet as forged.
+            # Callers send neither, and an upstream would treat the packet as forged.
             return []
         if self._routes is None:
             self._early_packets.add(segment, now=now)
@@ -157,8 +158,8 @@
         if record is None:
             record = self._records.add(FlowRecord(segment.flow))
         record.acknowledged = segment.ack
-        if record.request_parameters is not route.terms:
-            record.request_parameters = route.terms
+        if record.request_parameters is not route.request_parameters:
+            record.request_parameters = route.request_parameters
             record.service_ids = route.service_ids
             record.owner_header = b""
         if record.owner is not None:
@@ -180,7 +181,9 @@
             Actions to perform.
         """
         early = self._early_packets.take(now=now)
-        return [x for segment in early for x in self.on_segment(segment, now=now)]
+        return [
+            action for segment in early for action in self.on_segment(segment, now=now)
+        ]
 
     def on_verdict(
         self, agent: Peer, verdict: FlowVerdict, *, now: float
@@ -205,33 +208,33 @@
         return self._on_opening_verdict(agent, record, verdict.verdict, now=now)
 
     def on_agent_restarted(
-        self, agent: Peer, *, silent_since: float, now: float
+        self, agent: Peer, *, last_seen_at: float, now: float
     ) -> list[Action]:
         """Resends the packets that an agent missed during its restart.
 
         Args:
             agent: The agent.
-            silent_since: When its previous process was last seen, seconds.
+            last_seen_at: When its previous process was last seen, seconds.
             now: Clock reading, seconds.
 
         Returns:
             Messages with the packets.
         """
-        actions = self._forwarding.resend(agent, since=silent_since, now=now)
+        actions = self._forwarding.resend(agent, since=last_seen_at, now=now)
         if actions:
             self._log.decision(
                 "sent again",
                 agent=agent.member.member_id,
                 packets=len(actions),
-                silent=round(now - silent_since, 3),
+                silent=round(now - last_seen_at, 3),
             )
         return list(actions)
 
-    def encode_owned(self) -> list[bytes]:
-        """Encodes the owners of all flows for the balancers that succeed this one.
+    def encode_owners(self) -> list[bytes]:
+        """Encodes announcements of all owners for the successors of this balancer.
 
         Returns:
-            Messages that each of them receives.
+            Messages to send to each successor.
         """
         flows_by_agent: dict[str, list[bytes]] = {}
         for record in self._records:
@@ -241,26 +244,28 @@
         return [
             message
             for member_id, flows in flows_by_agent.items()
-            for message in encode_all_owned(member_id, flows)
+            for message in encode_ownership_announcements(member_id, flows)
         ]
 
-    def on_owned(self, owned: Owned, *, now: float) -> list[Action]:
+    def on_ownership_announcement(
+        self, announcement: OwnershipAnnouncement, *, now: float
+    ) -> list[Action]:
         """Caches the owner of flows that another node has announced.
 
         An agent that no longer owns such a flow returns its packets as usual.
 
         Args:
-            owned: The agent and its flows.
+            announcement: The agent and its flows.
             now: Clock reading, seconds.
 
         Returns:
             Messages to the owner with packets of flows whose owner was looked up.
         """
-        agent = self._fleet.peers_by_id.get(owned.member_id)
+        agent = self._fleet.peers_by_id.get(announcement.member_id)
         if agent is None:
             return []
         actions: list[Action] = []
-        for flow in owned.flows:
+        for flow in announcement.flows:
             record = self._records.find(flow)
             if record is None:
                 self._records.add(FlowRecord(flow, owner=agent))
@@ -278,10 +283,10 @@
             The lookup; None if there is none.
         """
         record = self._records.find(flow)
-        return record.search if record is not None else None
+        return record.lookup if record is not None else None
 
     def retry_held(self, *, now: float) -> list[Action]:
-        """Offers the held opening packets again; call it when an agent becomes ready.
+        """Offers the held opening packets again, after an agent has become ready.
 
         Args:
             now: Clock reading, seconds.
@@ -313,7 +318,8 @@
                 actions += self._retry(record, now=now)
         actions += self._finder.tick(now=now)
         while (
-            self._held_records and now - self._held_records[0].opened_at > HOLD_SECONDS
+            self._held_records
+            and now - self._held_records[0].opened_at > MAX_HOLD_SECONDS
         ):
             actions += self._refuse(self._held_records.popleft())
         self._records.drop_idle(now=now)
@@ -329,17 +335,17 @@
         if self._retry_timers:
             due = min(due, self._retry_timers[0][0])
         if self._held_records:
-            due = min(due, self._held_records[0].opened_at + HOLD_SECONDS)
+            due = min(due, self._held_records[0].opened_at + MAX_HOLD_SECONDS)
         return due
 
     def _on_unrouted(self, segment: Segment) -> list[Action]:
         if segment.flags & RESET:
             return []
-        is_first_copy = segment.flags & SYN and segment.ack == 0
+        is_first = segment.flags & SYN and segment.ack == 0
         was_dropped = service_address(segment.flow) in self._dropped_addresses
-        if is_first_copy and not was_dropped:
-            # The route may be new: the caller's next copy, 200 ms later, is routed or
-            # refused.
+        if is_first and not was_dropped:
+            # The route may be new: the caller's retransmission, 200 ms later, is routed
+            # or refused.
             return []
         self._records.drop(segment.flow)
         self._log.decision(
@@ -357,7 +363,7 @@
         if record is None or not record.attempts:
             record = self._records.add(FlowRecord(segment.flow))
             record.service_id = route.service_for(segment.flow)
-            record.request_parameters = route.terms
+            record.request_parameters = route.request_parameters
             record.service_ids = route.service_ids
             record.opening = segment.datagram
             record.opened_at = now
@@ -369,7 +375,7 @@
             and not self._placement.is_evacuated(attempt.agent)
         ]
         if accepted:
-            # The reply to the caller was lost; the upstream replies to a copy as well.
+            # The reply to the caller was lost; the upstream replies again.
             return [
                 self._forwarding.to_agent(
                     a.agent, Purpose.OPEN, segment.datagram, record
@@ -432,7 +438,7 @@
             return self._refuse(record)
         if (
             len(self._held_records) >= MAX_HELD_PACKETS
-            or now - record.opened_at > HOLD_SECONDS
+            or now - record.opened_at > MAX_HOLD_SECONDS
         ):
             return self._refuse(record)
         # All agents have refused; the flow may be offered to each of them again.
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -21,13 +21,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from siskinshift.connections.peer_messages import Alive
+    from siskinshift.connections.peer_messages import PeerHeartbeat
     from siskinshift.connections.peer_messages import Status
 
 
 # Shortest interval between two heartbeats to one peer. It need not be shorter, since
 # opening packets to a dead agent are retried elsewhere after tens of milliseconds.
-STATUS_INTERVAL_SECONDS = 0.5
+MIN_HEARTBEAT_INTERVAL_SECONDS = 0.5
 # A link that loses one message in forty practically never loses five in a row.
 UNRESPONSIVE_AFTER_INTERVALS = 5
 # Delay up to which a heartbeat counts as late rather than lost.
@@ -69,7 +69,7 @@
         load: Newest load that it reported.
         flows_since_load: New flows sent to it since it reported that load.
         configuration_version: Newest configuration that it holds.
-        next_message_within: Seconds until its next heartbeat, as it announced.
+        next_heartbeat_within: Seconds until its next heartbeat, as it announced.
         queried_at: Time of the first query that it has not answered, seconds; infinite
             if it has sent a message since.
         unanswered_openings: Consecutive opening packets that it did not answer.
@@ -85,7 +85,7 @@
     load: Load = NO_LOAD
     flows_since_load: int = 0
     configuration_version: int = 0
-    next_message_within: float = STATUS_INTERVAL_SECONDS
+    next_heartbeat_within: float = MIN_HEARTBEAT_INTERVAL_SECONDS
     queried_at: float = float("inf")
     unanswered_openings: int = 0
     key: int = 0
@@ -97,13 +97,13 @@
     def unresponsive_after(self) -> float:
         """Seconds without a message after which it counts as unresponsive."""
         return (
-            UNRESPONSIVE_AFTER_INTERVALS * self.next_message_within
+            UNRESPONSIVE_AFTER_INTERVALS * self.next_heartbeat_within
             + DELAY_ALLOWANCE_SECONDS
         )
 
     @property
     def was_idle(self) -> bool:
-        """Whether, by its last message, it surely held no flow and accepted none."""
+        """Whether it last reported to certainly hold no flow, and is not ready."""
         is_open = self.member.state is MemberState.READY
         return self.load.is_certain and not self.load.flows and not is_open
 
@@ -148,18 +148,18 @@
         self._agents_by_class: dict[str, list[Peer]] = {}
 
     def is_complete(self, *, now: float) -> bool:
-        """Returns whether a member that is not a known peer does not exist.
+        """Returns whether all existing members are known peers.
 
         Args:
             now: Clock reading, seconds.
 
         Returns:
-            Whether the store was read, or a peer with a complete list has sent it, or
-            the time within which peers announce themselves has passed.
+            Whether the store was read, or a peer has sent its complete list, or the
+            time within which peers announce themselves has passed.
         """
         if self._is_complete:
             return True
-        intervals = (peer.next_message_within for peer in self.peers_by_id.values())
+        intervals = (peer.next_heartbeat_within for peer in self.peers_by_id.values())
         timeout = max(
             DISCOVERY_TIMEOUT_SECONDS,
             max(intervals, default=0.0) + DELAY_ALLOWANCE_SECONDS,
@@ -211,7 +211,9 @@
         self.update_load(peer, status.load)
         return peer
 
-    def handle_alive(self, peer: Peer, message: Alive, *, now: float) -> bool:
+    def handle_heartbeat(
+        self, peer: Peer, message: PeerHeartbeat, *, now: float
+    ) -> bool:
         """Handles a heartbeat of a peer.
 
         Args:
@@ -227,7 +229,9 @@
         if known != (message.incarnation, message.version):
             return False
         peer.configuration_version = message.configuration_version
-        peer.next_message_within = max(message.next_within, STATUS_INTERVAL_SECONDS)
+        peer.next_heartbeat_within = max(
+            message.next_heartbeat_within, MIN_HEARTBEAT_INTERVAL_SECONDS
+        )
         self.record_message(peer, now=now)
         self.update_load(peer, message.load)
         return True
@@ -390,5 +394,5 @@
     if new.incarnation == old.incarnation:
         return new.version > old.version
     # Incarnations come from the wall clock, which may jump back, so a restarted member
-    # may have a lower one than before. Its own messages are applied all the same.
+    # may have a lower one than before. Its own messages are always applied.
     return is_from_member or new.incarnation > old.incarnation
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -1,4 +1,4 @@
-"""The base class of the nodes for connection flows: balancers and agents."""
+"""The base class of the nodes for connection flows, balancers and agents."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from siskinshift.connections.fleet import Fleet
 from siskinshift.connections.heartbeat_schedule import HeartbeatSchedule
 from siskinshift.connections.peer_codec import decode_peer_message
-from siskinshift.connections.peer_codec import encode_alive
 from siskinshift.connections.peer_codec import encode_known_hosts
+from siskinshift.connections.peer_codec import encode_peer_heartbeat
 from siskinshift.connections.peer_codec import encode_status
 from siskinshift.connections.peer_discovery import PeerDiscovery
-from siskinshift.connections.peer_messages import Alive
 from siskinshift.connections.peer_messages import KnownHosts
 from siskinshift.connections.peer_messages import Load
+from siskinshift.connections.peer_messages import PeerHeartbeat
 from siskinshift.connections.peer_messages import Status
 from siskinshift.connections.registration import MEMBERS_PREFIX
 from siskinshift.connections.registration import Registration
@@ -67,14 +67,14 @@
 # stopped querying, so the sender is not one of the queried peers.
 ACCEPT_HOSTS_SECONDS = 5.0
 SEED_INTERVAL_SECONDS = 0.5
-QUERIED_PEERS = 2
+MAX_QUERIED_PEERS = 2
 REMOVAL_INTERVAL_SECONDS = 1.0
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4"
 
 
 class ConnectionNode(LifeCycle):
-    """Owns the sockets, peers, registration and life cycle of a node."""
+    """Base of the nodes, with their sockets, peers, registration and life cycle."""
 
     def __init__(self, settings: NodeSettings, *, role: Role) -> None:
         """Initializes the node and binds its sockets.
@@ -126,7 +126,7 @@
         self._accept_hosts_until = self.clock() + ACCEPT_HOSTS_SECONDS
         self._removed_at = float("-inf")
         self._hello_sent_at = float("-inf")
-        self.is_leaving = False
+        self.is_shutting_down = False
 
     def on_start(self) -> None:
         """Starts the HTTP servers, the event handlers and the registration."""
@@ -137,7 +137,7 @@
         own = Endpoint(self.node_settings.host, self.node_settings.peer_port)
         self.serve(own, self.handle_peer_request)
         if self.node_settings.readiness is not None:
-            self.serve(self.node_settings.readiness, self._answer_readiness)
+            self.serve(self.node_settings.readiness, self._handle_readiness_request)
         self.spawn(self._maintain_registration)
 
     def add_sockets(self) -> None:
@@ -177,7 +177,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform may send work to this node."""
+        """Whether the node reports to the platform that it is ready."""
         raise NotImplementedError
 
     @property
@@ -268,13 +268,13 @@
         Args:
             due: Peers of this round, and the time until their next heartbeat.
         """
-        datagram = encode_alive(
-            Alive(
+        datagram = encode_peer_heartbeat(
+            PeerHeartbeat(
                 self.member.incarnation,
                 self.member.version,
                 self.load,
                 self.configuration_version,
-                due.next_within,
+                due.next_heartbeat_within,
             )
         )
         for peer in due.peers:
@@ -352,8 +352,8 @@
             self.log.decision("message unreadable", source=source[0])
         elif isinstance(message, Status):
             self._on_status(message, source, now)
-        elif isinstance(message, Alive):
-            self._on_alive(message, source, now)
+        elif isinstance(message, PeerHeartbeat):
+            self._on_peer_heartbeat(message, source, now)
         elif isinstance(message, KnownHosts):
             self._on_known_hosts(message, source[0], now)
         else:
@@ -378,9 +378,11 @@
             self.perform(self.on_peer_restarted(peer, last_seen_at, now))
         self.perform(self.on_peer_status(peer, now))
 
-    def _on_alive(self, message: Alive, source: tuple[str, int], now: float) -> None:
+    def _on_peer_heartbeat(
+        self, message: PeerHeartbeat, source: tuple[str, int], now: float
+    ) -> None:
         peer = self.fleet.peers_by_address.get(source)
-        if peer is None or not self.fleet.handle_alive(peer, message, now=now):
+        if peer is None or not self.fleet.handle_heartbeat(peer, message, now=now):
             # The peer is unknown or its record here is outdated: request its full
             # status.
             self.send_datagram(self._own_status(wants_status=True), source)
@@ -457,7 +459,9 @@
         self._has_queried = True
         self._query_seeds_at = now + SEED_INTERVAL_SECONDS
         known_hosts = [peer.address[0] for peer in self.fleet.balancers()]
-        queried = self.random.sample(known_hosts, min(QUERIED_PEERS, len(known_hosts)))
+        queried = self.random.sample(
+            known_hosts, min(MAX_QUERIED_PEERS, len(known_hosts))
+        )
         # All nodes have the same seeds, so no more load is put on them once all peers
         # are known, as after a read of the store.
         has_all_peers = self.fleet.is_complete(now=now)
@@ -490,14 +494,14 @@
         metrics.set_gauge("log_lines_dropped", self.log.dropped)
         return ServerResponse(200, metrics.render().encode(), METRICS_TYPE)
 
-    def _answer_readiness(self, request: HttpRequest) -> ServerResponse:
+    def _handle_readiness_request(self, request: HttpRequest) -> ServerResponse:
         if request.path != READINESS_PATH:
             return ServerResponse(404)
         return ServerResponse(200 if self.is_ready else 503)
 
     def _on_stop_signal(self) -> None:
-        if self.is_leaving:
+        if self.is_shutting_down:
             return
-        self.is_leaving = True
+        self.is_shutting_down = True
         self.log.fact("leaving")
         self.begin_shutdown()
--- a/src/siskinshift/connections/owned_flow.py
+++ b/src/siskinshift/connections/owned_flow.py
@@ -1,4 +1,4 @@
-"""Holds the state of an agent's flows and the records of flow snapshots."""
+"""The state of one flow at an agent, and the records of flow snapshots."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from siskinshift.connections.segment import SEQUENCE_SPACE
 from siskinshift.connections.segment import SYN
 from siskinshift.connections.segment import Segment
-from siskinshift.connections.segment import is_after
+from siskinshift.connections.segment import is_at_or_after
 from siskinshift.connections.segment import is_between
 
 
@@ -82,14 +82,14 @@
                 self.min_ack = self.max_ack = follows
             else:
                 self.adopt_at(follows)
-        elif is_after(follows, self.max_ack):
+        elif is_at_or_after(follows, self.max_ack):
             self.max_ack = follows
 
     def adopt_at(self, number: int) -> None:
         """Adopts a flow that opened before this process tracked it.
 
         The upstream holds the flow, so no other one can, and the range may be wide. It
-        has to be, since the first packet seen may be a copy of an old one.
+        has to be, since the first packet may be a retransmission of an old one.
 
         Args:
             number: A sequence number that the upstream has reached.
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -12,19 +12,19 @@
 from siskinshift.messages.core import Member
 
 
-NO_TERMS = RequestParameters()
+NO_REQUEST_PARAMETERS = RequestParameters()
 
 
 class Purpose(IntEnum):
     """What a balancer requests of an agent with a packet.
 
-    OPEN: open a flow. OWNED: the agent owns the flow. SEARCH: deliver the packet if the
+    OPEN: open a flow. OWNED: the agent owns the flow. LOOKUP: deliver the packet if the
     agent owns the flow, and reply with a verdict in either case.
     """
 
     OPEN = 1
     OWNED = 2
-    SEARCH = 3
+    LOOKUP = 3
 
 
 class Verdict(IntEnum):
@@ -54,13 +54,13 @@
         service_tag: Hash of the target service, so that an agent that has taken over
             the address for another service does not accept the packet.
         datagram: The packet.
-        terms: Request parameters of the flow's route.
+        request_parameters: Request parameters of the flow's route.
     """
 
     purpose: Purpose
     service_tag: int
     datagram: bytes
-    terms: RequestParameters = NO_TERMS
+    request_parameters: RequestParameters = NO_REQUEST_PARAMETERS
 
 
 @frozen
@@ -77,11 +77,10 @@
 
 
 @frozen
-class Owned:
-    """Announces an agent's flows to a balancer that has no record of them.
+class OwnershipAnnouncement:
+    """Announces the owner of flows to a balancer that has no record of them.
 
-    A leaving balancer sends it to its successors, an agent to a balancer that has
-    restarted.
+    A terminating balancer sends it to its successors, an agent to a restarted balancer.
 
     Attributes:
         member_id: The agent.
@@ -146,7 +145,7 @@
 
 
 @frozen
-class Alive:
+class PeerHeartbeat:
     """A short heartbeat of a member whose record has not changed.
 
     It takes a fourteenth of the bytes of a status.
@@ -156,14 +155,14 @@
         version: Version of that record.
         load: The member's load.
         configuration_version: Version of its newest configuration; 0 for none.
-        next_within: Seconds within which the next heartbeat follows.
+        next_heartbeat_within: Seconds within which the next heartbeat follows.
     """
 
     incarnation: int
     version: int
     load: Load
     configuration_version: int
-    next_within: float
+    next_heartbeat_within: float
 
 
 @frozen
@@ -173,12 +172,12 @@
     Attributes:
         hosts: IP addresses.
         count: Number of all members known to the peer.
-        is_whole: Whether the peer's list of members is complete.
+        is_complete: Whether the peer's list of members is complete.
     """
 
     hosts: tuple[str, ...]
     count: int
-    is_whole: bool
+    is_complete: bool
 
 
 @frozen
@@ -196,10 +195,10 @@
     Forward
     | FlowVerdict
     | Status
-    | Alive
+    | PeerHeartbeat
     | KnownHosts
     | OwnerQuery
-    | Owned
+    | OwnershipAnnouncement
     | Evacuations
     | WarmUpRate
 )
