--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -243,7 +243,7 @@
     """The flow was reset."""
 
 
-class FlowSilent(Exception):
+class FlowTimeout(Exception):
     """Nothing came in time."""
 
 
@@ -282,7 +282,7 @@
 
         Raises:
             FlowReset: It was refused.
-            FlowSilent: Nobody answered.
+            FlowTimeout: Nobody answered.
         """
         packets = [
             encode_packet(self.flow, SYN, seq=self._seq, ack=copy, from_caller=True)
@@ -305,7 +305,7 @@
 
         Raises:
             FlowReset: The flow was reset.
-            FlowSilent: No answer in time.
+            FlowTimeout: No answer in time.
         """
         packet = encode_packet(
             self.flow,
@@ -334,7 +334,7 @@
 
         Raises:
             FlowReset: The flow was reset, as hoped for.
-            FlowSilent: It was not.
+            FlowTimeout: It was not.
         """
         self._exchange([], (), timeout, wants=RESET)
 
@@ -361,7 +361,7 @@
                 return answer
             if wants == ACK and answer.length and answer.seq == self._received:
                 return answer
-        raise FlowSilent
+        raise FlowTimeout
 
     def _receive(self) -> Segment | None:
         self._socket.settimeout(POLL_SECONDS)
