--- a/src/siskinshift/standins/kv_direct.py
+++ b/src/siskinshift/standins/kv_direct.py
@@ -9,7 +9,7 @@
 from siskinshift.core.http import HttpAnswer
 from siskinshift.kv.exceptions import StoreOutcomeUnknownError
 from siskinshift.kv.exceptions import StoreUnavailableError
-from siskinshift.standins.kv_state import AnswerLost
+from siskinshift.standins.kv_state import ResponseLost
 
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
         """
         try:
             status, answer = self._state.answer(path, orjson.loads(body))
-        except AnswerLost as error:
+        except ResponseLost as error:
             raise StoreOutcomeUnknownError("lost") from error
         garbage = self._state.faults.garbage
         return HttpAnswer(status, orjson.dumps(answer) if garbage is None else garbage)
