--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -128,7 +128,7 @@
         name: Its name in each answer.
         record: What it saw.
         is_full: Whether it returns opening packets.
-        is_mute: Whether it runs requests and does not answer yet.
+        withholds_responses: Whether it runs requests and does not answer yet.
     """
 
     def __init__(
@@ -150,7 +150,7 @@
         self.name = name
         self.record = UpstreamRecord()
         self.is_full = False
-        self.is_mute = False
+        self.withholds_responses = False
         self._outlet = outlet
         self._random = random
         self._flows: dict[bytes, _HeldFlow] = {}
@@ -226,7 +226,7 @@
                 from_caller=False,
             )
             flow.answers[segment.seq] = answer
-        if not self.is_mute:
+        if not self.withholds_responses:
             self._socket.sendto(answer, self._outlet)
 
     def _send(self, flow: bytes, flags: int, seq: int, ack: int) -> None:
