--- a/src/siskinshift/standins/kv_state.py
+++ b/src/siskinshift/standins/kv_state.py
@@ -39,7 +39,7 @@
     Attributes:
         down: Refuse every call.
         latency: Pause before each answer, seconds.
-        lose_write_answers: Answers to the next writes to lose after their effect.
+        lose_write_responses: Answers to the next writes to lose after their effect.
         lose_writes: Next writes to lose before their effect, without an answer.
         requests_per_second: Calls answered in each second; 0 for no limit.
         garbage: Sent in place of each answer while set.
@@ -47,7 +47,7 @@
 
     down: bool = False
     latency: float = 0.0
-    lose_write_answers: int = 0
+    lose_write_responses: int = 0
     lose_writes: int = 0
     requests_per_second: int = 0
     garbage: bytes | None = None
@@ -134,8 +134,8 @@
             self.faults.lose_writes -= 1
             raise ResponseLost
         answer = handler(body)
-        if is_write and self.faults.lose_write_answers:
-            self.faults.lose_write_answers -= 1
+        if is_write and self.faults.lose_write_responses:
+            self.faults.lose_write_responses -= 1
             raise ResponseLost
         return HTTPStatus.OK, {"header": {"revision": str(self.revision)}} | answer
 
