--- a/src/siskinshift/standins/platform_store.py
+++ b/src/siskinshift/standins/platform_store.py
@@ -151,7 +151,7 @@
         self._history.clear()
         self._kept_after = self._revision
 
-    def expire_all(self) -> None:
+    def expire_all_leases(self) -> None:
         """Ends all leases, as while the store is away."""
         for lease in self._leases.values():
             lease.ends_at = self._clock()
