--- a/src/siskinshift/demo/figures.py
+++ b/src/siskinshift/demo/figures.py
@@ -104,7 +104,7 @@
     killed = {name for s in scenarios for name in s.deployment.killed}
     runs: Counter[str] = Counter()
     for upstream in upstreams:
-        runs.update(upstream.http.runs_by_id)
+        runs.update(upstream.http.run_counts_by_request_id)
     unplanned = sum(owner in killed for owner in ledger.broken_owners)
     at_stand_ins = sum(u.http.misdelivered + u.datagram.misdelivered for u in upstreams)
     writes = [name for name in runs if name.startswith("write-")]
--- a/src/siskinshift/demo/scenario.py
+++ b/src/siskinshift/demo/scenario.py
@@ -113,7 +113,7 @@
         """Waits until all callers have ended, and counts late work."""
         self._executor.shutdown(wait=True)
         for node_id, before in self._runs_at_drain.items():
-            now = self.deployment.upstreams_by_id[node_id].http.runs_by_id
+            now = self.deployment.upstreams_by_id[node_id].http.run_counts_by_request_id
             self.work_after_drain += (now - before).total()
 
     def add_balancer(self) -> None:
@@ -218,7 +218,7 @@
 
     def _note_runs(self, node_id: str) -> None:
         self._stopping.wait(NO_NEW_WORK_AFTER_SECONDS)
-        runs = self.deployment.upstreams_by_id[node_id].http.runs_by_id
+        runs = self.deployment.upstreams_by_id[node_id].http.run_counts_by_request_id
         self._runs_at_drain[node_id] = Counter(runs)
 
     def _guard(self, task: Callable[..., object], *args: object) -> None:
--- a/src/siskinshift/standins/http_upstream.py
+++ b/src/siskinshift/standins/http_upstream.py
@@ -120,7 +120,7 @@
         is_shedding: Whether every request is turned away with 503.
         is_draining: Whether the health endpoint says that it drains.
         reported_load: What the load endpoint says instead of the truth, or None.
-        runs_by_id: How often each request id ran.
+        run_counts_by_request_id: How often each request id ran.
         work_seconds: Time that requests ran, in all slots together.
         running_most: Most requests that ran at once.
         shed: Requests turned away.
@@ -141,7 +141,7 @@
         self.is_shedding = False
         self.is_draining = False
         self.reported_load: float | None = None
-        self.runs_by_id: Counter[str] = Counter()
+        self.run_counts_by_request_id: Counter[str] = Counter()
         self.work_seconds = 0.0
         self.running_most = 0
         self.shed = 0
@@ -226,7 +226,7 @@
             return False
         started_at = time.monotonic()
         with self._lock:
-            self.runs_by_id[request_id] += 1
+            self.run_counts_by_request_id[request_id] += 1
             self._running += 1
             self.running_most = max(self.running_most, self._running)
         try:
