--- a/src/siskinshift/demo/request_callers.py
+++ b/src/siskinshift/demo/request_callers.py
@@ -13,7 +13,7 @@
 from siskinshift.demo.http3_client import Answer
 from siskinshift.demo.http3_client import ConnectionLostError
 from siskinshift.demo.http3_client import Http3Client
-from siskinshift.standins.http_upstream import document_piece
+from siskinshift.standins.http_upstream import document_chunk
 
 
 if TYPE_CHECKING:
@@ -141,7 +141,7 @@
         answer = self._exchange(request_id, "GET", path, b"")
         if answer is None:
             return
-        if bytes(answer.body) != document_piece(0, DOCUMENT_SIZE):
+        if bytes(answer.body) != document_chunk(0, DOCUMENT_SIZE):
             self._ledger.add("answers_wrong")
 
 
--- a/src/siskinshift/standins/http_upstream.py
+++ b/src/siskinshift/standins/http_upstream.py
@@ -311,7 +311,7 @@
     handler.send_header("Content-Length", str(size))
     handler.end_headers()
     for start in range(0, size, CHUNK_SIZE):
-        handler.wfile.write(document_piece(start, min(CHUNK_SIZE, size - start)))
+        handler.wfile.write(document_chunk(start, min(CHUNK_SIZE, size - start)))
 
 
 @_serves("/health")
@@ -325,7 +325,7 @@
     handler.answer(HTTPStatus.OK, orjson.dumps({"load": handler.stand_in.load}))
 
 
-def document_piece(start: int, size: int) -> bytes:
+def document_chunk(start: int, size: int) -> bytes:
     """Makes a piece of the document that `/document` serves.
 
     Args:
