--- a/src/siskinshift/bench/configuration.py
+++ b/src/siskinshift/bench/configuration.py
@@ -112,11 +112,11 @@
             if tick % ticks_per_second == 0:
                 counts.append(0)
                 self._publish()
-            before = sum(self.state.calls_by_path.values())
+            before = sum(self.state.request_counts_by_path.values())
             self._end_silent_watches()
             for reader in self._readers:
                 reader.reader.step()
-            counts[-1] += sum(self.state.calls_by_path.values()) - before
+            counts[-1] += sum(self.state.request_counts_by_path.values()) - before
             self.now += TICK_SECONDS
         return counts
 
--- a/src/siskinshift/standins/kv.py
+++ b/src/siskinshift/standins/kv.py
@@ -129,16 +129,16 @@
     @property
     def calls(self) -> int:
         """Calls taken so far; a watch counts as one."""
-        return sum(self._state.calls_by_path.values())
+        return sum(self._state.request_counts_by_path.values())
 
-    def calls_by_path(self) -> dict[str, int]:
+    def request_counts_by_path(self) -> dict[str, int]:
         """Counts calls.
 
         Returns:
             Calls taken so far by path.
         """
         with self._changed:
-            return dict(self._state.calls_by_path)
+            return dict(self._state.request_counts_by_path)
 
     def lapse_leases(self) -> None:
         """Ends all leases at once."""
--- a/src/siskinshift/standins/kv_state.py
+++ b/src/siskinshift/standins/kv_state.py
@@ -78,7 +78,7 @@
 
     Attributes:
         faults: What goes wrong.
-        calls_by_path: Calls taken so far by path; a watch counts as one.
+        request_counts_by_path: Calls taken so far by path; a watch counts as one.
         revision: Current revision of the store.
     """
 
@@ -89,7 +89,7 @@
             clock: For leases and the rate limit, seconds.
         """
         self.faults = KvFaults()
-        self.calls_by_path: Counter[str] = Counter()
+        self.request_counts_by_path: Counter[str] = Counter()
         self.revision = 1
         self._clock = clock
         self._stored_by_key: dict[bytes, _Stored] = {}
@@ -148,7 +148,7 @@
         Returns:
             None, or the status to refuse it with.
         """
-        self.calls_by_path[path] += 1
+        self.request_counts_by_path[path] += 1
         self._expire_leases()
         if self.faults.down:
             return HTTPStatus.SERVICE_UNAVAILABLE
