--- a/src/siskinshift/bench/telemetry.py
+++ b/src/siskinshift/bench/telemetry.py
@@ -65,7 +65,7 @@
         super().__init__(name="metered", plans=(PLAN,), balancers=1)
         self.endpoints: list[Endpoint] = []
 
-    def balancer_lines(self) -> list[str]:
+    def balancer_settings_lines(self) -> list[str]:
         return self._lines()
 
     def agent_lines(self) -> list[str]:
--- a/src/siskinshift/demo/deployment.py
+++ b/src/siskinshift/demo/deployment.py
@@ -170,7 +170,7 @@
         for service in self.services_by_id.values():
             store.write(service)
 
-    def balancer_lines(self) -> list[str]:
+    def balancer_settings_lines(self) -> list[str]:
         """Gives settings that balancers have besides."""
         return []
 
@@ -189,7 +189,9 @@
             The running balancer.
         """
         node_id = f"{self._name}-balancer-{index}"
-        settings = self._settings(node_id, control=control, extra=self.balancer_lines())
+        settings = self._settings(
+            node_id, control=control, extra=self.balancer_settings_lines()
+        )
         balancer = BalancerApplication(settings)
         balancer.start()
         self.balancers_by_id[node_id] = balancer
--- a/src/siskinshift/demo/trial.py
+++ b/src/siskinshift/demo/trial.py
@@ -66,7 +66,7 @@
     def write_configuration(self) -> None:
         """Leaves the configuration to the operator."""
 
-    def balancer_lines(self) -> list[str]:
+    def balancer_settings_lines(self) -> list[str]:
         """Gives the operators' API and metrics to the balancer."""
         return [
             "[api]",
