--- a/src/siskinshift/bench/telemetry.py
+++ b/src/siskinshift/bench/telemetry.py
@@ -68,7 +68,7 @@
     def balancer_settings_lines(self) -> list[str]:
         return self._lines()
 
-    def agent_lines(self) -> list[str]:
+    def agent_settings_lines(self) -> list[str]:
         return self._lines()
 
     def _lines(self) -> list[str]:
--- a/src/siskinshift/demo/deployment.py
+++ b/src/siskinshift/demo/deployment.py
@@ -174,7 +174,7 @@
         """Gives settings that balancers have besides."""
         return []
 
-    def agent_lines(self) -> list[str]:
+    def agent_settings_lines(self) -> list[str]:
         """Gives settings that agents have besides."""
         return []
 
@@ -220,7 +220,7 @@
             name=node_id, endpoint=Endpoint(LOOPBACK, 0), slots=plan.slots
         )
         upstream.start()
-        agent_lines = [
+        agent_settings_lines = [
             "[agent]",
             f"upstream_class = {plan.service_id}",
             f"upstream_endpoint = {format_endpoint(upstream.endpoint)}",
@@ -228,9 +228,9 @@
             f"certificate_file = {self.certificate_path}",
             f"private_key_file = {self.private_key_path}",
             f"fabric_return = {format_endpoint(self.fabric.return_endpoint)}",
-            *self.agent_lines(),
+            *self.agent_settings_lines(),
         ]
-        agent = AgentApplication(self._settings(node_id, extra=agent_lines))
+        agent = AgentApplication(self._settings(node_id, extra=agent_settings_lines))
         agent.start()
         self.agents_by_id[node_id] = agent
         self.upstreams_by_id[node_id] = upstream
--- a/src/siskinshift/demo/trial.py
+++ b/src/siskinshift/demo/trial.py
@@ -77,7 +77,7 @@
             *self._metrics_lines(),
         ]
 
-    def agent_lines(self) -> list[str]:
+    def agent_settings_lines(self) -> list[str]:
         """Gives metrics to the agents."""
         return self._metrics_lines()
 
