--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -111,13 +111,13 @@
     Attributes:
         foreign: Packets of flows that it does not hold.
         changed: Packets that are not as their sender wrote them.
-        ran: Requests in the order in which they ran.
+        executed: Requests in the order in which they ran.
         opened_at: When it took an opening packet, seconds by the steady clock.
     """
 
     foreign: list[bytes] = Factory(list)
     changed: list[bytes] = Factory(list)
-    ran: list[bytes] = Factory(list)
+    executed: list[bytes] = Factory(list)
     opened_at: list[float] = Factory(list)
 
 
@@ -212,7 +212,7 @@
             if segment.seq != flow.expected:
                 return
             request = segment.datagram[_HEADER.size :]
-            self.record.ran.append(request)
+            self.record.executed.append(request)
             flow.expected = (flow.expected + segment.length) & _SEQUENCE_MASK
             seq = (flow.next_seq + 1) & _SEQUENCE_MASK
             data = self.name.encode() + b"|" + request
