--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -110,13 +110,13 @@
 
     Attributes:
         foreign: Packets of flows that it does not hold.
-        changed: Packets that are not as their sender wrote them.
+        corrupted: Packets that are not as their sender wrote them.
         executed: Requests in the order in which they ran.
         opened_at: When it took an opening packet, seconds by the steady clock.
     """
 
     foreign: list[bytes] = Factory(list)
-    changed: list[bytes] = Factory(list)
+    corrupted: list[bytes] = Factory(list)
     executed: list[bytes] = Factory(list)
     opened_at: list[float] = Factory(list)
 
@@ -181,7 +181,7 @@
                 continue
             segment = decode_from_caller(datagram)
             if segment is None or not is_unchanged(datagram):
-                self.record.changed.append(datagram)
+                self.record.corrupted.append(datagram)
                 continue
             self._on_segment(segment)
 
