--- a/src/siskinshift/standins/platform_store.py
+++ b/src/siskinshift/standins/platform_store.py
@@ -79,7 +79,7 @@
 
     Attributes:
         faults: What goes wrong.
-        calls: Calls by path, also refused ones.
+        request_counts_by_path: Calls by path, also refused ones.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -89,7 +89,7 @@
             clock: Clock of leases.
         """
         self.faults = StoreFaults()
-        self.calls: Counter[str] = Counter()
+        self.request_counts_by_path: Counter[str] = Counter()
         self._clock = clock
         self._revision = FIRST_REVISION
         self._items: dict[str, _Item] = {}
@@ -115,7 +115,7 @@
         Raises:
             ResponseLost: The call took effect; nothing is to be answered.
         """
-        self.calls[path.split("/")[1]] += 1
+        self.request_counts_by_path[path.split("/")[1]] += 1
         if self.faults.rejection_status:
             return self.faults.rejection_status, {}
         self._end_leases()
