--- a/src/siskinshift/demo/http3_client.py
+++ b/src/siskinshift/demo/http3_client.py
@@ -50,12 +50,12 @@
     Attributes:
         fields: Fields of the head by name.
         body: The body so far.
-        is_whole: Whether the stream ended in order.
+        is_complete: Whether the stream ended in order.
     """
 
     fields: dict[str, str] = field(factory=dict)
     body: bytearray = field(factory=bytearray)
-    is_whole: bool = False
+    is_complete: bool = False
 
     @property
     def status(self) -> int:
@@ -285,7 +285,7 @@
             if exchange.on_data is not None:
                 exchange.on_data(event.data)
         if event.stream_ended:
-            answer.is_whole = True
+            answer.is_complete = True
             del self._exchanges_by_stream[event.stream_id]
             exchange.future.set_result(answer)
 
