--- a/src/siskinshift/demo/callers.py
+++ b/src/siskinshift/demo/callers.py
@@ -27,7 +27,7 @@
 
     Attributes:
         owners: Upstreams that answered, in the order of their first answer.
-        lost: Exchanges without an answer after all tries.
+        unanswered: Exchanges without an answer after all tries.
         wrong: Answers that belong to another question.
     """
 
@@ -46,7 +46,7 @@
             answer_timeout: Seconds to wait before a question is sent again.
         """
         self.owners: list[str] = []
-        self.lost = 0
+        self.unanswered = 0
         self.wrong = 0
         self._number = 0
         self._prefix = f"{service_id}/" if service_id else ""
@@ -74,7 +74,7 @@
             self._socket.send(question)
             if self._take_answer(question):
                 return True
-        self.lost += 1
+        self.unanswered += 1
         return False
 
     def close(self) -> None:
