--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -253,7 +253,7 @@
     def __init__(
         self,
         *,
-        opened: socket.socket,
+        sock: socket.socket,
         router: tuple[str, int],
         flow: bytes,
         random: Random,
@@ -261,7 +261,7 @@
         """Prepares a flow.
 
         Args:
-            opened: Socket at the caller's address; one flow uses it at a time.
+            sock: Socket at the caller's address; one flow uses it at a time.
             router: The balancer that the routers choose; change it at any time.
             flow: The flow.
             random: Draws the first sequence number.
@@ -269,7 +269,7 @@
         assert len(flow) == FLOW_SIZE
         self.router = router
         self.flow = flow
-        self._socket = opened
+        self._socket = sock
         self._seq = random.getrandbits(32)
         self._received = 0
 
