--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -133,7 +133,7 @@
         name: Name in each reply.
         record: Packets and requests received so far.
         is_full: Whether it bounces the SYN of a new flow.
-        withholds_responses: Whether it runs requests without sending the replies.
+        withholds_replies: Whether it runs requests without sending the replies.
     """
 
     def __init__(
@@ -155,7 +155,7 @@
         self.name = name
         self.record = UpstreamRecord()
         self.is_full = False
-        self.withholds_responses = False
+        self.withholds_replies = False
         self._outlet = outlet
         self._random = random
         self._flows: dict[bytes, _UpstreamFlow] = {}
@@ -231,7 +231,7 @@
                 from_caller=False,
             )
             flow.replies_by_seq[segment.seq] = reply
-        if not self.withholds_responses:
+        if not self.withholds_replies:
             self._socket.sendto(reply, self._outlet)
 
     def _send(self, flow: bytes, flags: int, seq: int, ack: int) -> None:
