--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -113,11 +113,11 @@
     """Packets and requests that an upstream received.
 
     Attributes:
+        unknown_flow_packets: Packets of flows that it does not hold.
+        corrupted: Packets with a wrong format or checksum.
+        executed: Requests in the order in which they ran.
         opened_at: Times at which it received a SYN that it accepted, in seconds of the
             monotonic clock.
-        executed: Requests in the order in which they ran.
-        opened_at: Times at which it received a SYN that it accepted,
-            seconds of the monotonic clock.
     """
 
     unknown_flow_packets: list[bytes] = Factory(list)
