--- a/src/siskinshift/demo/figures.py
+++ b/src/siskinshift/demo/figures.py
@@ -140,7 +140,7 @@
                 own_class = name.rpartition("-")[0]
                 upstreams_by_class.setdefault(own_class, []).append(upstream.http)
         for own_class, upstreams in upstreams_by_class.items():
-            work = [upstream.work_seconds / upstream.slots for upstream in upstreams]
+            work = [upstream.busy_seconds / upstream.slots for upstream in upstreams]
             mean = sum(work) / len(work)
             imbalance_by_service[own_class] = round(max(work) / mean, 2) if mean else 0
     return imbalance_by_service
