--- a/src/siskinshift/standins/kv_direct.py
+++ b/src/siskinshift/standins/kv_direct.py
@@ -1,4 +1,4 @@
-"""The key-value stand-in without sockets: calls it in the same thread."""
+"""A transport that calls the key-value stand-in directly, without sockets."""
 
 from __future__ import annotations
 
@@ -19,43 +19,45 @@
 
 
 class DirectTransport:
-    """Calls the stand-in's state in the same thread."""
+    """Passes requests to the state of the stand-in in the same thread."""
 
     def __init__(self, state: KvState) -> None:
         self._state = state
 
     def post(self, path: str, body: bytes) -> HttpAnswer:
-        """Makes a call.
+        """Sends a request.
 
         Args:
             path: Path of the URL.
-            body: The JSON.
+            body: Encoded JSON.
 
         Returns:
-            The answer.
+            The response.
 
         Raises:
-            StoreOutcomeUnknownError: The answer was lost.
+            StoreOutcomeUnknownError: The response was lost.
         """
         try:
-            status, answer = self._state.answer(path, orjson.loads(body))
+            status, response = self._state.handle(path, orjson.loads(body))
         except ResponseLost as error:
             raise StoreOutcomeUnknownError("lost") from error
         garbage = self._state.faults.garbage
-        return HttpAnswer(status, orjson.dumps(answer) if garbage is None else garbage)
+        return HttpAnswer(
+            status, orjson.dumps(response) if garbage is None else garbage
+        )
 
     def stream(self, path: str, body: bytes) -> OneShotStream:
         """Opens a watch.
 
         Args:
             path: Path of the URL.
-            body: The JSON.
+            body: Encoded JSON.
 
         Returns:
-            Its lines.
+            The lines of the watch.
 
         Raises:
-            StoreUnavailableError: It was refused.
+            StoreUnavailableError: The watch was rejected.
         """
         if self._state.count(path) is not None:
             raise StoreUnavailableError("refused")
@@ -64,14 +66,14 @@
 
 
 class OneShotStream:
-    """Sends what there is, then ends as after a silence."""
+    """Yields the pending events once, then ends as after a read timeout."""
 
     def __init__(self, state: KvState, create: dict[str, str]) -> None:
         self._state = state
         self._create = create
 
     def __iter__(self) -> Iterator[bytes]:
-        """Reads what there is.
+        """Reads the pending events.
 
         Yields:
             One line.
@@ -83,4 +85,4 @@
         yield orjson.dumps({"result": result})
 
     def close(self) -> None:
-        """Does nothing: it has ended already."""
+        """Does nothing: the stream holds no resources."""
