--- a/src/siskinshift/standins/kv_state.py
+++ b/src/siskinshift/standins/kv_state.py
@@ -96,7 +96,7 @@
         self._clock = clock
         self._stored_by_key: dict[bytes, _StoredValue] = {}
         self._leases_by_id: dict[int, _Lease] = {}
-        self._next_lease_id = FIRST_LEASE_ID
+        self._last_lease_id = FIRST_LEASE_ID
         self._history: list[_Event] = []
         self._compacted_revision = 0
         self._rate_window = (0, 0)
@@ -250,10 +250,10 @@
         return {"succeeded": True}
 
     def _grant_lease(self, body: Document) -> Document:
-        self._next_lease_id += 1
+        self._last_lease_id += 1
         ttl = int(body["TTL"])
-        self._leases_by_id[self._next_lease_id] = _Lease(ttl, self._clock() + ttl)
-        return {"ID": str(self._next_lease_id), "TTL": str(ttl)}
+        self._leases_by_id[self._last_lease_id] = _Lease(ttl, self._clock() + ttl)
+        return {"ID": str(self._last_lease_id), "TTL": str(ttl)}
 
     def _renew_lease(self, body: Document) -> Document:
         lease = self._leases_by_id.get(int(body["ID"]))
