--- a/src/siskinshift/standins/platform_store.py
+++ b/src/siskinshift/standins/platform_store.py
@@ -267,7 +267,7 @@
     """Serves the stand-in over HTTP on the loopback address.
 
     Attributes:
-        state: State of the store.
+        state: State of the store; while it serves, write through `put` and `revoke`.
         port: Port on which it listens.
     """
 
