--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.agent.datagram_flows import DatagramFlows
-from siskinshift.agent.hand_over import RequestHandover
+from siskinshift.agent.handover import RequestHandover
 from siskinshift.agent.life_cycle import AgentLifeCycle
 from siskinshift.agent.request_flows import RequestFlows
 from siskinshift.agent.request_runner import RequestRunner
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -30,7 +30,7 @@
 
 
 if TYPE_CHECKING:
-    from siskinshift.agent.hand_over import RequestHandover
+    from siskinshift.agent.handover import RequestHandover
     from siskinshift.agent.http_requests import HttpRequest
     from siskinshift.agent.upstream_connections import UpstreamConnections
     from siskinshift.core.clocks import Clock
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -15,7 +15,7 @@
 from siskinshift.flows.actions import DeliverToFlow
 from siskinshift.flows.actions import DropEnvelope
 from siskinshift.flows.actions import ForwardToAgent
-from siskinshift.flows.hand_over import FlowHandover
+from siskinshift.flows.handover import FlowHandover
 from siskinshift.flows.held_packets import HeldPackets
 from siskinshift.messages.core import MemberState
 from siskinshift.routing.buckets import bucket_of
--- a/tests/agent/test_hand_over.py
+++ b/tests/agent/test_handover.py
@@ -11,12 +11,12 @@
 import attrs
 import pytest
 
-from siskinshift.agent.hand_over import CANCEL_PATH
-from siskinshift.agent.hand_over import RELEASE_PATH
-from siskinshift.agent.hand_over import RESERVE_PATH
-from siskinshift.agent.hand_over import RUN_PATH
-from siskinshift.agent.hand_over import USAGE_PATH
-from siskinshift.agent.hand_over import RequestHandover
+from siskinshift.agent.handover import CANCEL_PATH
+from siskinshift.agent.handover import RELEASE_PATH
+from siskinshift.agent.handover import RESERVE_PATH
+from siskinshift.agent.handover import RUN_PATH
+from siskinshift.agent.handover import USAGE_PATH
+from siskinshift.agent.handover import RequestHandover
 from siskinshift.agent.http_requests import HttpRequest
 from siskinshift.agent.request_runner import RequestRunner
 from siskinshift.agent.upstream_connections import UpstreamConnections
--- a/tests/flows/test_hand_over_fuzz.py
+++ b/tests/flows/test_handover_fuzz.py
@@ -118,7 +118,7 @@
 TestHandOver = HandOverMachine.TestCase
 TestHandOver.settings = hypothesis_settings(max_examples=40, stateful_step_count=60)
 
-# Seeds that once exposed a fault; tests/flows/test_hand_over_faults.py covers the
+# Seeds that once exposed a fault; tests/flows/test_handover_faults.py covers the
 # faults one by one.
 REGRESSION_SEEDS = (0, 2, 29, 60, 77, 102, 202, 268, 359, 421, 3195, 20194, 21360)
 
