--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -230,7 +230,7 @@
             actions = self._router.flow_ended(flow_hash, now=monotonic_clock())
         if service_id:
             # Flows that remain when the process stops are broken.
-            self.telemetry.flow_ended(service_id, broken=self.stopping.is_set())
+            self.telemetry.record_flow(service_id, broken=self.stopping.is_set())
         self._execute(actions)
 
     def _execute(self, actions: list[FlowAction]) -> None:
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -81,7 +81,7 @@
             service_id, seconds=seconds / self._slots, now=self._clock()
         )
 
-    def flow_ended(self, service_id: str, *, broken: bool) -> None:
+    def record_flow(self, service_id: str, *, broken: bool) -> None:
         """Records the end of a flow.
 
         Args:
