--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -375,7 +375,7 @@
 
     def _with_outcome_report(self, http_request: HttpRequest) -> HttpRequest:
         def report(outcome: OutcomeKind) -> None:
-            self._telemetry.request_ended(http_request.request, outcome)
+            self._telemetry.record_request(http_request.request, outcome)
 
         return attrs.evolve(
             http_request, writer=ObservedResponse(http_request.writer, report)
--- a/src/siskinshift/observability/metrics.py
+++ b/src/siskinshift/observability/metrics.py
@@ -193,7 +193,7 @@
         if self._exporter is not None:
             self._exporter.close()
 
-    def request_ended(self, service_id: str, group_id: str, seconds: float) -> None:
+    def record_request(self, service_id: str, group_id: str, seconds: float) -> None:
         """Records the duration of a request.
 
         Args:
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -47,7 +47,7 @@
         """Exports a last time and stops the exporter."""
         self._metrics.stop()
 
-    def request_ended(self, request: Request, outcome: OutcomeKind) -> None:
+    def record_request(self, request: Request, outcome: OutcomeKind) -> None:
         """Records the outcome of a request as its caller received it.
 
         Args:
@@ -59,7 +59,7 @@
         seconds = now - request.arrived_at
         if outcome is OutcomeKind.ANSWERED:
             self.counters.add("requests.answered")
-        self._metrics.request_ended(request.service_id, request.group_id, seconds)
+        self._metrics.record_request(request.service_id, request.group_id, seconds)
         self.objectives.record_request(
             request.service_id,
             request.group_id,
