--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -192,7 +192,7 @@
         for service in view.services_by_id.values():
             # Adds idle agents to the imbalance metric.
             if service.upstream_class == self.settings.agent.upstream_class:
-                self.telemetry.slot_used(service.service_id, seconds=0.0)
+                self.telemetry.record_slot_time(service.service_id, seconds=0.0)
         self._runner.update(view, upstream_class=self.settings.agent.upstream_class)
         with self._lock:
             actions = self._router.update(view, now=monotonic_clock())
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -389,7 +389,9 @@
             since: Clock reading when it was offered, seconds.
         """
         seconds = self._clock() - since
-        self._telemetry.slot_used(http_request.request.service_id, seconds=seconds)
+        self._telemetry.record_slot_time(
+            http_request.request.service_id, seconds=seconds
+        )
 
     def _run(self, request_id: int, exchange: UpstreamExchange) -> None:
         end = None
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -68,7 +68,7 @@
             now=now,
         )
 
-    def slot_used(self, service_id: str, *, seconds: float) -> None:
+    def record_slot_time(self, service_id: str, *, seconds: float) -> None:
         """Records how long a request held a slot of the upstream.
 
         Args:
