--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -133,7 +133,7 @@
         if lookup is None or lookup.is_finished(self._fleet, now=now):
             return self._start(record, segment.datagram, now=now)
         lookup.add(segment.datagram)
-        if self._budget.wait(now=now):
+        if self._budget.delay_before_send(now=now):
             return []
         peers_by_id = self._fleet.peers_by_id
         peers = [peers_by_id[i] for i in sorted(lookup.pending & peers_by_id.keys())]
@@ -202,7 +202,7 @@
     def _query_next_batch(
         self, record: FlowRecord, lookup: OwnerLookup, *, now: float
     ) -> list[Action]:
-        if self._budget.wait(now=now):
+        if self._budget.delay_before_send(now=now):
             return self._postpone(record, lookup, now=now)
         agents = lookup.next_batch(
             self._fleet, failure_domain=self._failure_domain, now=now
@@ -318,7 +318,7 @@
                     agent, Purpose.SEARCH, packets, record
                 )
         size = sum(len(a.datagram) + DATAGRAM_HEADER_BYTES for a in actions)
-        self._budget.take(size, now=now)
+        self._budget.consume(size, now=now)
         return list(actions)
 
     def _on_unsure(
@@ -337,11 +337,11 @@
             or member_id not in lookup.queried_without_packets & lookup.pending
         ):
             return []
-        if self._budget.wait(now=now):
+        if self._budget.delay_before_send(now=now):
             return []
         packet = min(lookup.packets, key=len)
         action = self._forwarding.to_agent(agent, Purpose.SEARCH, packet, record)
-        self._budget.take(len(action.datagram) + DATAGRAM_HEADER_BYTES, now=now)
+        self._budget.consume(len(action.datagram) + DATAGRAM_HEADER_BYTES, now=now)
         return [action]
 
     def _on_refuted(
--- a/src/siskinshift/flows/notes_sender.py
+++ b/src/siskinshift/flows/notes_sender.py
@@ -186,9 +186,9 @@
         size = len(encode_message(notes)) + OVERHEAD_BYTES
         while True:
             with self._lock:
-                delay = self._budget.wait(now=self._clock())
+                delay = self._budget.delay_before_send(now=self._clock())
                 if not delay:
-                    self._budget.take(size, now=self._clock())
+                    self._budget.consume(size, now=self._clock())
                     break
             if self._application.stopping.wait(delay):
                 return
--- a/src/siskinshift/flows/pacing.py
+++ b/src/siskinshift/flows/pacing.py
@@ -33,7 +33,7 @@
         self._level = self._capacity
         self._refilled_at: float | None = None
 
-    def wait(self, *, now: float) -> float:
+    def delay_before_send(self, *, now: float) -> float:
         """Returns the delay before the next message may be sent.
 
         Args:
@@ -47,7 +47,7 @@
             return 0.0
         return -self._level / self._rate + 1.0 / self._rate
 
-    def take(self, size: int, *, now: float) -> None:
+    def consume(self, size: int, *, now: float) -> None:
         """Subtracts the size of a sent message.
 
         Args:
