--- a/src/siskinshift/flows/handover.py
+++ b/src/siskinshift/flows/handover.py
@@ -113,7 +113,7 @@
             self._claims.apply_peer_changes(state, change.appeared, now=now)
             if change.was_suspected:
                 self._claims.restart_all(state, now=now)
-            table = self._chooser.get_object(service)
+            table = self._chooser.bucket_table_of(service)
             self._claims.apply_table(state, service, table, now=now)
             actions += self._claims.confirm_peer_claims(state, now=now)
             self._claims.complete_confirmed(state, now=now)
--- a/src/siskinshift/routing/chooser.py
+++ b/src/siskinshift/routing/chooser.py
@@ -54,7 +54,7 @@
     tables_by_service: dict[str, BucketTable]
     stale_tables_by_service: dict[str, BucketTable]
 
-    def get_object(self, service: Service) -> BucketTable:
+    def bucket_table_of(self, service: Service) -> BucketTable:
         table = self.tables_by_service.get(service.service_id)
         if table is None:
             table = build_bucket_table(
@@ -124,12 +124,12 @@
         hash_value = flow_hash(
             caller=packet.caller, service_address=packet.service_address
         )
-        agent = tables.get_object(service).primary_of(bucket_of(hash_value))
+        agent = tables.bucket_table_of(service).primary_of(bucket_of(hash_value))
         if agent is None:
             return DropPacket(ErrorKind.NO_MEMBER)
         return SendTo(agent)
 
-    def get_object(self, service: Service) -> BucketTable:
+    def bucket_table_of(self, service: Service) -> BucketTable:
         """Returns the bucket table of a service, built on first use.
 
         Args:
@@ -139,7 +139,7 @@
             Its table.
         """
         assert self._tables is not None
-        return self._tables.get_object(service)
+        return self._tables.bucket_table_of(service)
 
 
 def _is_unchanged(service: Service, old_view: View, view: View) -> bool:
