--- a/src/siskinshift/runtime/drops.py
+++ b/src/siskinshift/runtime/drops.py
@@ -19,15 +19,15 @@
     their sender could fill the log and use up the processor time of the flows.
     """
 
-    def __init__(self, *, part: str, counters: Counters) -> None:
+    def __init__(self, *, component: str, counters: Counters) -> None:
         """Initializes the recorder.
 
         Args:
-            part: Prefix of the log messages.
+            component: Prefix of the log messages.
             counters: Counters of the process.
         """
         self._counters = counters
-        self._log = ComponentLog(part)
+        self._log = ComponentLog(component)
 
     def record(self, error: ErrorKind, **fields: str | int) -> None:
         """Records a dropped datagram.
--- a/src/siskinshift/runtime/node_application.py
+++ b/src/siskinshift/runtime/node_application.py
@@ -69,7 +69,7 @@
         self.counters = self.telemetry.counters
         self.key_ring = KeyRing(settings.keys)
         self.codec = EnvelopeCodec(self.key_ring)
-        self.drops = DropRecorder(part=role.value, counters=self.counters)
+        self.drops = DropRecorder(component=role.value, counters=self.counters)
         self.data_socket = DatagramSocket(node.data_endpoint)
         self.routes = ControlRoutes()
         self._server = ControlServer(
