--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -73,7 +73,7 @@
                 member_id=node.node_id,
                 incarnation=self.incarnation,
                 slots=settings.agent.slots,
-                ramp_time=settings.flows.ramp_duration,
+                ramp_duration=settings.flows.ramp_duration,
                 settings=settings.load,
                 random=Random(),
                 now=monotonic_clock(),
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -68,7 +68,7 @@
         member_id: str,
         incarnation: int,
         slots: int,
-        ramp_time: float,
+        ramp_duration: float,
         settings: LoadSettings,
         random: Random,
         now: float,
@@ -79,7 +79,7 @@
             member_id: The agent's member id.
             incarnation: The agent's incarnation; part of reservation ids.
             slots: Configured slots of the upstream.
-            ramp_time: Seconds until the upstream gets full load.
+            ramp_duration: Seconds until the upstream gets full load.
             settings: Thresholds.
             random: Source of all random choices.
             now: Clock reading, seconds.
@@ -87,7 +87,7 @@
         self._member_id = member_id
         self._state = GateState(
             slots=slots,
-            ramp_time=ramp_time,
+            ramp_duration=ramp_duration,
             settings=settings,
             random=random,
             now=now,
--- a/src/siskinshift/load/gate_state.py
+++ b/src/siskinshift/load/gate_state.py
@@ -57,7 +57,7 @@
         self,
         *,
         slots: int,
-        ramp_time: float,
+        ramp_duration: float,
         settings: LoadSettings,
         random: Random,
         now: float,
@@ -75,7 +75,7 @@
         )
         self.caller_limits = CallerLimits(settings)
         self.retry_budget = RetryBudget(fraction=settings.retry_part)
-        self.ramp = ColdStartRamp(started_at=now, ramp_time=ramp_time)
+        self.ramp = ColdStartRamp(started_at=now, ramp_duration=ramp_duration)
         self.upstream_health = UpstreamHealth(settings)
         self.usage_meter = UsageMeter(now=now)
         self.recent_sums: list[UsageSum] = []
--- a/src/siskinshift/load/ramp.py
+++ b/src/siskinshift/load/ramp.py
@@ -19,15 +19,15 @@
 class ColdStartRamp:
     """Computes the fraction of full load that an upstream should get."""
 
-    def __init__(self, *, started_at: float, ramp_time: float) -> None:
+    def __init__(self, *, started_at: float, ramp_duration: float) -> None:
         """Initializes the ramp.
 
         Args:
             started_at: Clock reading at the start of the upstream, seconds.
-            ramp_time: Seconds to full load.
+            ramp_duration: Seconds to full load.
         """
         self._started_at = started_at
-        self._ramp_time = ramp_time
+        self._ramp_duration = ramp_duration
 
     def fraction(self, *, now: float) -> float:
         """Returns the current fraction of full load.
@@ -38,7 +38,7 @@
         Returns:
             The fraction, 0.1 to 1.
         """
-        if self._ramp_time <= 0:
+        if self._ramp_duration <= 0:
             return 1.0
-        elapsed = (now - self._started_at) / self._ramp_time
+        elapsed = (now - self._started_at) / self._ramp_duration
         return min(1.0, max(MIN_RAMP_FRACTION, elapsed))
