--- a/src/siskinshift/api/service.py
+++ b/src/siskinshift/api/service.py
@@ -265,5 +265,5 @@
             # Applied here at once; gossip distributes it even if the store becomes
             # unavailable.
             self._membership.services.merge(accepted.service)
-            self._membership.services_changed()
+            self._membership.publish_merged_services()
         return accepted_change_to_message(accepted)
--- a/src/siskinshift/balancer/application.py
+++ b/src/siskinshift/balancer/application.py
@@ -121,7 +121,7 @@
 
     def _apply_services(self, services: list[Service]) -> None:
         if self.membership.services.merge_all(services):
-            self.membership.services_changed()
+            self.membership.publish_merged_services()
 
     def _on_datagram(self, datagram: bytes, source: tuple[str, int]) -> None:
         self._last_received_at = monotonic_clock()
--- a/src/siskinshift/bench/configuration_in_force.py
+++ b/src/siskinshift/bench/configuration_in_force.py
@@ -80,7 +80,7 @@
         began = time.monotonic()
         if through_balancer and accepted.service is not None:
             nodes[0].services.merge(accepted.service)
-            nodes[0].services_changed()
+            nodes[0].publish_merged_services()
         _wait_until_in_force(nodes, accepted.revision)
         times.append(time.monotonic() - began)
         time.sleep(PAUSE_SECONDS)
--- a/src/siskinshift/membership/agent.py
+++ b/src/siskinshift/membership/agent.py
@@ -195,7 +195,7 @@
         )
         self.table.merge(self.own, now=now)
 
-    def services_changed(self, *, now: float) -> None:
+    def publish_merged_services(self, *, now: float) -> None:
         """Indexes records that other modules merged into the services.
 
         Args:
--- a/src/siskinshift/membership/balancer.py
+++ b/src/siskinshift/membership/balancer.py
@@ -267,7 +267,7 @@
         )
         self._merge(self.own, None, now)
 
-    def services_changed(self, *, now: float) -> None:
+    def publish_merged_services(self, *, now: float) -> None:
         """Passes on records that other modules merged into the services.
 
         Args:
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -135,10 +135,10 @@
             )
             self._notify()
 
-    def services_changed(self) -> None:
+    def publish_merged_services(self) -> None:
         """Passes on and publishes configuration that was merged into `services`."""
         with self._condition:
-            self._participant.services_changed(now=self._clock())
+            self._participant.publish_merged_services(now=self._clock())
             self._notify()
 
     def _handler(self, path: str) -> Callable[[Message], Reply]:
--- a/src/siskinshift/membership/participant.py
+++ b/src/siskinshift/membership/participant.py
@@ -58,5 +58,5 @@
     ) -> None:
         """Changes the state that the process announces of itself."""
 
-    def services_changed(self, *, now: float) -> None:
+    def publish_merged_services(self, *, now: float) -> None:
         """Handles records that other modules merged into the services."""
