--- a/src/siskinshift/load/dispatcher.py
+++ b/src/siskinshift/load/dispatcher.py
@@ -65,8 +65,8 @@
         if work.is_from_peer:
             return self._peer_requests.refuse(work, now=now)
         if work.request.deadline <= now:
-            return self._state.abandon(work, ErrorKind.DEADLINE_EXCEEDED)
-        return self._state.abandon(work, ErrorKind.QUEUE_TIMEOUT)
+            return self._state.end_without_response(work, ErrorKind.DEADLINE_EXCEEDED)
+        return self._state.end_without_response(work, ErrorKind.QUEUE_TIMEOUT)
 
     def _start(self, work: WorkItem, *, now: float) -> list[GateAction]:
         self._state.slots.assign(work)
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -226,7 +226,7 @@
         if work.state in (WorkState.RUNNING, WorkState.AT_PEER):
             work.is_cancelled = True
             return [CancelAtUpstream(request_id)]
-        return self._state.abandon(work, ErrorKind.CANCELLED)
+        return self._state.end_without_response(work, ErrorKind.CANCELLED)
 
     def drain(self, *, now: float) -> list[GateAction]:
         """Stops admission; own queued requests still run, those of peers are refused.
--- a/src/siskinshift/load/gate_state.py
+++ b/src/siskinshift/load/gate_state.py
@@ -158,7 +158,9 @@
             if result is not RunResult.NOT_OFFERED:
                 self.slots.limit.record_overload()
 
-    def abandon(self, work: WorkItem, error: ErrorKind) -> list[GateAction]:
+    def end_without_response(
+        self, work: WorkItem, error: ErrorKind
+    ) -> list[GateAction]:
         """Ends a request without a response from the upstream.
 
         Args:
--- a/src/siskinshift/load/peer_search.py
+++ b/src/siskinshift/load/peer_search.py
@@ -125,7 +125,7 @@
             self._state.describe_arrival(work, key_is_at_limit=False, now=now)
         )
         if error is not None and error is not ErrorKind.DRAINING:
-            return [*actions, *self._state.abandon(work, error)]
+            return [*actions, *self._state.end_without_response(work, error)]
         work.state = WorkState.QUEUED
         work.peers_queried = True
         self._state.queues.push(work)
@@ -177,7 +177,9 @@
     ) -> list[GateAction]:
         self.peers.record_grant()
         if work.request.deadline <= now:
-            actions = self._state.abandon(work, ErrorKind.DEADLINE_EXCEEDED)
+            actions = self._state.end_without_response(
+                work, ErrorKind.DEADLINE_EXCEEDED
+            )
             return [*actions, ReleaseAtPeer(peer_id, reservation_id)]
         if work.state is WorkState.QUEUED:
             self._state.queues.remove(work)
--- a/src/siskinshift/load/retries.py
+++ b/src/siskinshift/load/retries.py
@@ -59,9 +59,11 @@
             self._state.drop(work)
             return []
         if work.is_cancelled:
-            return self._state.abandon(work, ErrorKind.CANCELLED)
+            return self._state.end_without_response(work, ErrorKind.CANCELLED)
         if not self._can_retry(work, result, now=now):
-            return self._state.abandon(work, _error_of(work, result, now=now))
+            return self._state.end_without_response(
+                work, _error_of(work, result, now=now)
+            )
         if work.state is WorkState.AT_PEER and result is RunResult.NOT_OFFERED:
             return self.requeue(work)
         work.state = WorkState.BACKING_OFF
@@ -89,7 +91,7 @@
         """
         key = group_key(work)
         if self._state.queues.group_length(key) >= self._state.settings.queue_limit:
-            return self._state.abandon(work, ErrorKind.OVERLOADED)
+            return self._state.end_without_response(work, ErrorKind.OVERLOADED)
         work.state = WorkState.QUEUED
         work.peers_queried = False
         self._state.queues.push(work)
