--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -13,7 +13,7 @@
 from attrs import define
 
 from siskinshift.control.codec import encode_message
-from siskinshift.core.flows import flow_hash
+from siskinshift.core.flows import hash_flow
 from siskinshift.core.packets import Envelope
 from siskinshift.core.packets import Packet
 from siskinshift.core.views import make_view
@@ -158,7 +158,7 @@
     @property
     def digest(self) -> int:
         """Hash of the flow."""
-        return flow_hash(caller=self.caller, service_address=self.service.addresses[0])
+        return hash_flow(caller=self.caller, service_address=self.service.addresses[0])
 
 
 class FlowNetwork:
--- a/src/siskinshift/core/flows.py
+++ b/src/siskinshift/core/flows.py
@@ -22,7 +22,7 @@
     return socket.inet_pton(family, host)
 
 
-def flow_hash(*, caller: Endpoint, service_address: Endpoint) -> int:
+def hash_flow(*, caller: Endpoint, service_address: Endpoint) -> int:
     """Hashes the pair of endpoints that identifies a flow.
 
     Args:
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -11,7 +11,7 @@
 import attrs
 
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.flows import flow_hash
+from siskinshift.core.flows import hash_flow
 from siskinshift.flows.actions import DeliverToFlow
 from siskinshift.flows.actions import DropEnvelope
 from siskinshift.flows.actions import ForwardToAgent
@@ -106,7 +106,7 @@
         state = self._handover.services_by_id.get(service.service_id)
         if state is None or state.table is None:
             return [DropEnvelope(ErrorKind.WRONG_SERVICE)]
-        digest = flow_hash(caller=packet.caller, service_address=packet.service_address)
+        digest = hash_flow(caller=packet.caller, service_address=packet.service_address)
         return self._route(state, digest, envelope, now=now)
 
     def on_notes(self, notes: FlowNotes, *, now: float) -> list[FlowAction]:
--- a/src/siskinshift/routing/chooser.py
+++ b/src/siskinshift/routing/chooser.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.flows import flow_hash
+from siskinshift.core.flows import hash_flow
 from siskinshift.core.views import View
 from siskinshift.messages.core import Member
 from siskinshift.routing.buckets import BucketTable
@@ -121,7 +121,7 @@
         service = tables.view.services_by_address.get(packet.service_address)
         if service is None:
             return DropPacket(ErrorKind.UNKNOWN_ADDRESS)
-        hash_value = flow_hash(
+        hash_value = hash_flow(
             caller=packet.caller, service_address=packet.service_address
         )
         agent = tables.bucket_table_of(service).primary_of(bucket_of(hash_value))
