--- a/src/siskinshift/flows/bucket_claims.py
+++ b/src/siskinshift/flows/bucket_claims.py
@@ -326,9 +326,9 @@
             now: Clock reading, seconds.
         """
         for bucket, granted_by_flow in tuple(state.granted_by_bucket.items()):
-            for digest, granted in tuple(granted_by_flow.items()):
+            for flow_hash, granted in tuple(granted_by_flow.items()):
                 if granted.expires_at <= now:
-                    del granted_by_flow[digest]
+                    del granted_by_flow[flow_hash]
             if not granted_by_flow:
                 del state.granted_by_bucket[bucket]
         for bucket, confirmed_at_by_peer in tuple(
@@ -451,8 +451,8 @@
         state.incomplete_buckets.discard(bucket)
         expires_at = now + GRANT_RETENTION_SECONDS
         granted = {
-            digest: GrantedFlow(claim.owners_by_flow[digest], version, expires_at)
-            for digest, version in claim.versions_by_flow.items()
+            flow_hash: GrantedFlow(claim.owners_by_flow[flow_hash], version, expires_at)
+            for flow_hash, version in claim.versions_by_flow.items()
         }
         if granted:
             state.granted_by_bucket.setdefault(bucket, {}).update(granted)
--- a/src/siskinshift/flows/claims.py
+++ b/src/siskinshift/flows/claims.py
@@ -40,47 +40,47 @@
     versions_by_flow: dict[int, int] = Factory(dict)
     permitted: set[int] = Factory(set)
 
-    def note(self, digest: int, owner_id: str, version: int | None = None) -> None:
+    def note(self, flow_hash: int, owner_id: str, version: int | None = None) -> None:
         """Records the owner of a flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             owner_id: Member id of the owner.
             version: Version of the owner's view when it sent the query; None if the
                 owner itself reported the flow.
         """
-        self.owners_by_flow[digest] = owner_id
+        self.owners_by_flow[flow_hash] = owner_id
         if version is None:
-            self.versions_by_flow.pop(digest, None)
-            self.permitted.discard(digest)
+            self.versions_by_flow.pop(flow_hash, None)
+            self.permitted.discard(flow_hash)
         else:
-            self.versions_by_flow[digest] = version
+            self.versions_by_flow[flow_hash] = version
 
-    def forget(self, digest: int) -> None:
+    def forget(self, flow_hash: int) -> None:
         """Drops a note.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
         """
-        self.owners_by_flow.pop(digest, None)
-        self.versions_by_flow.pop(digest, None)
-        self.permitted.discard(digest)
+        self.owners_by_flow.pop(flow_hash, None)
+        self.versions_by_flow.pop(flow_hash, None)
+        self.permitted.discard(flow_hash)
 
-    def permit(self, digest: int, owner_id: str, version: int) -> None:
+    def permit(self, flow_hash: int, owner_id: str, version: int) -> None:
         """Records the permission of a peer to create a flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             owner_id: The peer.
             version: Version of the peer's view when it sent the query.
         """
-        self.note(digest, owner_id, version)
-        self.permitted.add(digest)
+        self.note(flow_hash, owner_id, version)
+        self.permitted.add(flow_hash)
 
     def mark_notes_unverified(self) -> None:
         """Marks all notes as unconfirmed, so that the audit verifies them."""
-        for digest in self.owners_by_flow:
-            self.versions_by_flow.setdefault(digest, UNVERIFIED_VERSION)
+        for flow_hash in self.owners_by_flow:
+            self.versions_by_flow.setdefault(flow_hash, UNVERIFIED_VERSION)
 
     def replace_list(self, owner_id: str, flows: set[int], version: int) -> None:
         """Applies an owner's complete list of its flows in the bucket.
@@ -90,18 +90,18 @@
             flows: Hashes of all its flows in the bucket.
             version: Version of the owner's view when it built the list.
         """
-        for digest, known_id in tuple(self.owners_by_flow.items()):
-            if known_id != owner_id or digest in flows:
+        for flow_hash, known_id in tuple(self.owners_by_flow.items()):
+            if known_id != owner_id or flow_hash in flows:
                 continue
             # A list built before the owner's query does not cover the flow.
-            if self.versions_by_flow.get(digest, -1) <= version:
-                self.forget(digest)
-        for digest in flows:
-            known_id = self.owners_by_flow.get(digest, owner_id)
+            if self.versions_by_flow.get(flow_hash, -1) <= version:
+                self.forget(flow_hash)
+        for flow_hash in flows:
+            known_id = self.owners_by_flow.get(flow_hash, owner_id)
             # If an owner that was declared gone returns after the flow was created
             # again on another agent, the caller stays with that agent.
-            if known_id == owner_id or digest in self.versions_by_flow:
-                self.note(digest, owner_id)
+            if known_id == owner_id or flow_hash in self.versions_by_flow:
+                self.note(flow_hash, owner_id)
 
     def forget_owner(self, owner_id: str) -> None:
         """Drops all notes about the flows of an owner that is gone.
@@ -109,9 +109,9 @@
         Args:
             owner_id: The owner.
         """
-        for digest, known_id in tuple(self.owners_by_flow.items()):
+        for flow_hash, known_id in tuple(self.owners_by_flow.items()):
             if known_id == owner_id:
-                self.forget(digest)
+                self.forget(flow_hash)
 
     def forget_listed(self, owner_id: str) -> None:
         """Drops the notes from the lists of an owner that has restarted.
@@ -121,6 +121,6 @@
         Args:
             owner_id: The owner.
         """
-        for digest, known_id in tuple(self.owners_by_flow.items()):
-            if known_id == owner_id and digest not in self.versions_by_flow:
-                self.forget(digest)
+        for flow_hash, known_id in tuple(self.owners_by_flow.items()):
+            if known_id == owner_id and flow_hash not in self.versions_by_flow:
+                self.forget(flow_hash)
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -67,16 +67,16 @@
         else:
             state.pending_lists_by_bucket.pop(bucket, None)
 
-    def flow_ended(self, state: ServiceFlows, digest: int, *, now: float) -> None:
+    def flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
         """Removes an owned flow and schedules a list without it.
 
         Args:
             state: Service of the flow.
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             now: Clock reading, seconds.
         """
-        state.remove_flow(digest)
-        bucket = bucket_of(digest)
+        state.remove_flow(flow_hash)
+        bucket = bucket_of(flow_hash)
         if state.primary_id_of(bucket) in ("", self._peers.member_id):
             return
         # The list is sent again without the flow. Flows that end within the delay share
@@ -146,9 +146,9 @@
                 sender_version=version,
                 listed_buckets=tuple(batch),
                 flows=tuple(
-                    digest
+                    flow_hash
                     for bucket in batch
-                    for digest in state.flows_by_bucket.get(bucket, ())
+                    for flow_hash in state.flows_by_bucket.get(bucket, ())
                 ),
                 notes=tuple(self._grants_of(state, batch)),
                 given_to=self._confirmed_peers(state, batch, peer_id),
@@ -184,9 +184,9 @@
             self._refuse(state, buckets, now=now)
             return [], []
         flows_by_bucket: dict[int, set[int]] = {}
-        for digest in notes.flows:
-            if not state.owns(digest):
-                flows_by_bucket.setdefault(bucket_of(digest), set()).add(digest)
+        for flow_hash in notes.flows:
+            if not state.owns(flow_hash):
+                flows_by_bucket.setdefault(bucket_of(flow_hash), set()).add(flow_hash)
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
             if claim is None:
@@ -254,9 +254,9 @@
         self, state: ServiceFlows, buckets: Iterable[int]
     ) -> Iterable[FlowNote]:
         for bucket in buckets:
-            for digest, granted in state.granted_by_bucket.get(bucket, {}).items():
+            for flow_hash, granted in state.granted_by_bucket.get(bucket, {}).items():
                 yield FlowNote(
-                    flow_hash=digest,
+                    flow_hash=flow_hash,
                     owner_id=granted.owner_id,
                     owner_incarnation=self._peers.incarnation_of(granted.owner_id),
                     owner_version=granted.version,
--- a/src/siskinshift/flows/held_packets.py
+++ b/src/siskinshift/flows/held_packets.py
@@ -13,7 +13,7 @@
 class _HeldEnvelope:
     service_id: str
     bucket: int
-    digest: int
+    flow_hash: int
     envelope: Envelope
     held_at: float
 
@@ -48,7 +48,7 @@
         *,
         service_id: str,
         bucket: int,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         now: float,
     ) -> bool:
@@ -57,7 +57,7 @@
         Args:
             service_id: Service of the flow.
             bucket: Bucket of the flow.
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             envelope: The envelope to hold.
             now: Clock reading, seconds.
 
@@ -67,7 +67,7 @@
         if len(self._held_by_number) >= self._limit:
             return False
         self._last_number += 1
-        held = _HeldEnvelope(service_id, bucket, digest, envelope, now)
+        held = _HeldEnvelope(service_id, bucket, flow_hash, envelope, now)
         self._held_by_number[self._last_number] = held
         numbers = self._numbers_by_bucket.setdefault((service_id, bucket), [])
         numbers.append(self._last_number)
@@ -92,7 +92,7 @@
         released = []
         for number in tuple(numbers):
             held = self._held_by_number[number]
-            if flows is None or held.digest in flows:
+            if flows is None or held.flow_hash in flows:
                 released.append(held.envelope)
                 self._remove(number, held)
         return released
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -106,8 +106,10 @@
         state = self._handover.services_by_id.get(service.service_id)
         if state is None or state.table is None:
             return [DropEnvelope(ErrorKind.WRONG_SERVICE)]
-        digest = hash_flow(caller=packet.caller, service_address=packet.service_address)
-        return self._route(state, digest, envelope, now=now)
+        flow_hash = hash_flow(
+            caller=packet.caller, service_address=packet.service_address
+        )
+        return self._route(state, flow_hash, envelope, now=now)
 
     def on_notes(self, notes: FlowNotes, *, now: float) -> list[FlowAction]:
         """Handles notes from a peer.
@@ -125,19 +127,19 @@
             *self._route_released(now=now),
         ]
 
-    def flow_ended(self, digest: int, *, now: float) -> list[FlowAction]:
+    def flow_ended(self, flow_hash: int, *, now: float) -> list[FlowAction]:
         """Marks a flow as ended; it is removed after `LINGER_SECONDS`.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             now: Clock reading, seconds.
 
         Returns:
             No actions; `tick` retracts the notes.
         """
-        if self._find_service_flows(digest) is not None:
-            self._linger_expiry_by_flow[digest] = now + LINGER_SECONDS
-            self._linger_expiry_by_flow.move_to_end(digest)
+        if self._find_service_flows(flow_hash) is not None:
+            self._linger_expiry_by_flow[flow_hash] = now + LINGER_SECONDS
+            self._linger_expiry_by_flow.move_to_end(flow_hash)
         return []
 
     def tick(self, *, now: float) -> list[FlowAction]:
@@ -158,16 +160,16 @@
         actions += [DropEnvelope(ErrorKind.HELD_TOO_LONG)] * dropped
         return actions
 
-    def service_of(self, digest: int) -> str:
+    def service_of(self, flow_hash: int) -> str:
         """Returns the service of an owned flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
 
         Returns:
             The service id, or an empty string if the flow is not owned.
         """
-        state = self._find_service_flows(digest)
+        state = self._find_service_flows(flow_hash)
         return state.service_id if state is not None else ""
 
     @property
@@ -195,24 +197,24 @@
             self._ticked_at = now
             self._handover.on_pause(now=now)
 
-    def _find_service_flows(self, digest: int) -> ServiceFlows | None:
+    def _find_service_flows(self, flow_hash: int) -> ServiceFlows | None:
         for state in self._handover.services_by_id.values():
-            if state.owns(digest):
+            if state.owns(flow_hash):
                 return state
         return None
 
     def _end_lingering(self, *, now: float) -> None:
         while self._linger_expiry_by_flow:
-            digest, expires_at = next(iter(self._linger_expiry_by_flow.items()))
+            flow_hash, expires_at = next(iter(self._linger_expiry_by_flow.items()))
             if expires_at > now:
                 return
-            self._forget_flow(digest, now=now)
+            self._forget_flow(flow_hash, now=now)
 
-    def _forget_flow(self, digest: int, *, now: float) -> None:
-        self._linger_expiry_by_flow.pop(digest, None)
-        state = self._find_service_flows(digest)
+    def _forget_flow(self, flow_hash: int, *, now: float) -> None:
+        self._linger_expiry_by_flow.pop(flow_hash, None)
+        state = self._find_service_flows(flow_hash)
         if state is not None:
-            self._handover.flow_ended(state, digest, now=now)
+            self._handover.flow_ended(state, flow_hash, now=now)
             self._flow_count -= 1
 
     def _route_released(self, *, now: float) -> list[FlowAction]:
@@ -228,42 +230,42 @@
         return actions
 
     def _route(
-        self, state: ServiceFlows, digest: int, envelope: Envelope, *, now: float
+        self, state: ServiceFlows, flow_hash: int, envelope: Envelope, *, now: float
     ) -> list[FlowAction]:
-        claim = state.claims_by_bucket.get(bucket_of(digest))
-        if state.owns(digest):
-            if digest not in self._linger_expiry_by_flow:
-                return [self._deliver(state, digest, envelope)]
+        claim = state.claims_by_bucket.get(bucket_of(flow_hash))
+        if state.owns(flow_hash):
+            if flow_hash not in self._linger_expiry_by_flow:
+                return [self._deliver(state, flow_hash, envelope)]
             if claim is not None and self._may_create(claim, now=now):
-                del self._linger_expiry_by_flow[digest]
-                return [self._deliver(state, digest, envelope, is_new=True)]
-            self._forget_flow(digest, now=now)
+                del self._linger_expiry_by_flow[flow_hash]
+                return [self._deliver(state, flow_hash, envelope, is_new=True)]
+            self._forget_flow(flow_hash, now=now)
         if envelope.may_create:
-            return self._on_permission(state, claim, digest, envelope, now=now)
+            return self._on_permission(state, claim, flow_hash, envelope, now=now)
         if envelope.disclaimed and claim is not None:
-            return self._on_disclaimer(state, claim, digest, envelope, now=now)
+            return self._on_disclaimer(state, claim, flow_hash, envelope, now=now)
         if envelope.disclaimed:
             envelope = _without_query(envelope)
         if claim is None:
-            return self._forward_to_primary(state, digest, envelope)
-        return self._route_with_claim(state, claim, digest, envelope, now=now)
+            return self._forward_to_primary(state, flow_hash, envelope)
+        return self._route_with_claim(state, claim, flow_hash, envelope, now=now)
 
     def _route_with_claim(
         self,
         state: ServiceFlows,
         claim: Claim,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         *,
         now: float,
     ) -> list[FlowAction]:
-        owner_id = claim.owners_by_flow.get(digest)
+        owner_id = claim.owners_by_flow.get(flow_hash)
         if owner_id is not None and owner_id != envelope.querier_id:
-            if claim.is_complete and digest in claim.permitted:
+            if claim.is_complete and flow_hash in claim.permitted:
                 # The permission may still be in flight, or lost.
-                version = claim.versions_by_flow[digest]
-                return self._permit(claim, digest, envelope, owner_id, version)
-            return self._query(owner_id, state, digest, envelope, now=now)
+                version = claim.versions_by_flow[flow_hash]
+                return self._permit(claim, flow_hash, envelope, owner_id, version)
+            return self._query(owner_id, state, flow_hash, envelope, now=now)
         if claim.is_complete:
             querier_id = envelope.querier_id
             if querier_id and not self._handover.is_live(querier_id):
@@ -272,24 +274,24 @@
                 return [DropEnvelope(ErrorKind.NO_MEMBER)]
             if querier_id:
                 version = envelope.view_version
-                return self._permit(claim, digest, envelope, querier_id, version)
+                return self._permit(claim, flow_hash, envelope, querier_id, version)
             if self._may_create(claim, now=now):
-                return self._create(state, digest, envelope)
-            return self._forward_to_primary(state, digest, envelope)
+                return self._create(state, flow_hash, envelope)
+            return self._forward_to_primary(state, flow_hash, envelope)
         if claim.left_at is not None:
-            return self._forward_to_primary(state, digest, envelope)
+            return self._forward_to_primary(state, flow_hash, envelope)
         # Queries the previous primary in this agent's name: a disclaimer sent to the
         # querying peer would become wrong if a permission is in flight to this agent.
         if self._can_query_previous(claim) and claim.previous_id != envelope.querier_id:
-            return self._query(claim.previous_id, state, digest, envelope, now=now)
+            return self._query(claim.previous_id, state, flow_hash, envelope, now=now)
         plain_envelope = _without_query(envelope)
-        return self._hold(state, digest, plain_envelope, now=now)
+        return self._hold(state, flow_hash, plain_envelope, now=now)
 
     def _on_permission(
         self,
         state: ServiceFlows,
         claim: Claim | None,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         *,
         now: float,
@@ -302,30 +304,30 @@
             or claim.version > envelope.view_version
         ):
             return self._disclaim(envelope, version=envelope.view_version)
-        owner_id = claim.owners_by_flow.get(digest, envelope.querier_id)
+        owner_id = claim.owners_by_flow.get(flow_hash, envelope.querier_id)
         if owner_id == envelope.querier_id and not claim.is_complete:
-            claim.forget(digest)
-            return self._create(state, digest, envelope)
+            claim.forget(flow_hash)
+            return self._create(state, flow_hash, envelope)
         plain_envelope = _without_query(envelope)
-        return self._route_with_claim(state, claim, digest, plain_envelope, now=now)
+        return self._route_with_claim(state, claim, flow_hash, plain_envelope, now=now)
 
     def _on_disclaimer(
         self,
         state: ServiceFlows,
         claim: Claim,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         *,
         now: float,
     ) -> list[FlowAction]:
         plain_envelope = _without_query(envelope)
-        known_version = claim.versions_by_flow.get(digest, -1)
-        if claim.owners_by_flow.get(digest) == envelope.querier_id:
+        known_version = claim.versions_by_flow.get(flow_hash, -1)
+        if claim.owners_by_flow.get(flow_hash) == envelope.querier_id:
             if known_version <= envelope.view_version:
-                claim.forget(digest)
+                claim.forget(flow_hash)
         elif not claim.is_complete and claim.left_at is None:
-            return self._hold(state, digest, plain_envelope, now=now)
-        return self._route_with_claim(state, claim, digest, plain_envelope, now=now)
+            return self._hold(state, flow_hash, plain_envelope, now=now)
+        return self._route_with_claim(state, claim, flow_hash, plain_envelope, now=now)
 
     def _may_create(self, claim: Claim, *, now: float) -> bool:
         if not claim.is_complete:
@@ -341,28 +343,28 @@
         return previous is not None and previous.state is not MemberState.GONE
 
     def _create(
-        self, state: ServiceFlows, digest: int, envelope: Envelope
+        self, state: ServiceFlows, flow_hash: int, envelope: Envelope
     ) -> list[FlowAction]:
         if self._flow_count >= self._settings.flow_limit:
             return [DropEnvelope(ErrorKind.FLOW_LIMIT)]
-        state.add_flow(digest)
+        state.add_flow(flow_hash)
         self._flow_count += 1
-        return [self._deliver(state, digest, envelope, is_new=True)]
+        return [self._deliver(state, flow_hash, envelope, is_new=True)]
 
     def _deliver(
         self,
         state: ServiceFlows,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         *,
         is_new: bool = False,
     ) -> DeliverToFlow:
-        return DeliverToFlow(digest, state.service_id, envelope.packet, is_new)
+        return DeliverToFlow(flow_hash, state.service_id, envelope.packet, is_new)
 
     def _permit(
         self,
         claim: Claim,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         owner_id: str,
         version: int,
@@ -370,7 +372,7 @@
         if self._handover.note_count() >= self._settings.note_limit:
             return [DropEnvelope(ErrorKind.FLOW_LIMIT)]
         # From here on this agent follows the note: no second agent gets the flow.
-        claim.permit(digest, owner_id, version)
+        claim.permit(flow_hash, owner_id, version)
         reply = attrs.evolve(
             envelope,
             querier_id=self._member_id,
@@ -395,7 +397,7 @@
         self,
         agent_id: str,
         state: ServiceFlows,
-        digest: int,
+        flow_hash: int,
         envelope: Envelope,
         *,
         now: float,
@@ -403,16 +405,16 @@
         view = self._handover.view
         assert view is not None
         if agent_id not in view.members_by_id:
-            return self._hold(state, digest, envelope, now=now)
+            return self._hold(state, flow_hash, envelope, now=now)
         query = attrs.evolve(
             envelope, querier_id=self._member_id, view_version=view.version
         )
         return self._forward(agent_id, query)
 
     def _forward_to_primary(
-        self, state: ServiceFlows, digest: int, envelope: Envelope
+        self, state: ServiceFlows, flow_hash: int, envelope: Envelope
     ) -> list[FlowAction]:
-        primary_id = state.primary_id_of(bucket_of(digest))
+        primary_id = state.primary_id_of(bucket_of(flow_hash))
         if envelope.querier_id and primary_id in ("", envelope.querier_id):
             view = self._handover.view
             assert view is not None
@@ -433,12 +435,12 @@
         return [ForwardToAgent(agent, forwarded)]
 
     def _hold(
-        self, state: ServiceFlows, digest: int, envelope: Envelope, *, now: float
+        self, state: ServiceFlows, flow_hash: int, envelope: Envelope, *, now: float
     ) -> list[FlowAction]:
         held = self._held.hold(
             service_id=state.service_id,
-            bucket=bucket_of(digest),
-            digest=digest,
+            bucket=bucket_of(flow_hash),
+            flow_hash=flow_hash,
             envelope=envelope,
             now=now,
         )
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -108,35 +108,35 @@
     released: list[ReleasedBucket] = Factory(list)
     last_audited_bucket: int = -1
 
-    def owns(self, digest: int) -> bool:
+    def owns(self, flow_hash: int) -> bool:
         """Returns whether the agent owns a flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
 
         Returns:
             Whether the flow is owned.
         """
-        flows = self.flows_by_bucket.get(bucket_of(digest))
-        return flows is not None and digest in flows
+        flows = self.flows_by_bucket.get(bucket_of(flow_hash))
+        return flows is not None and flow_hash in flows
 
-    def add_flow(self, digest: int) -> None:
+    def add_flow(self, flow_hash: int) -> None:
         """Adds an owned flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
         """
-        self.flows_by_bucket.setdefault(bucket_of(digest), set()).add(digest)
+        self.flows_by_bucket.setdefault(bucket_of(flow_hash), set()).add(flow_hash)
 
-    def remove_flow(self, digest: int) -> None:
+    def remove_flow(self, flow_hash: int) -> None:
         """Removes an owned flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
         """
-        bucket = bucket_of(digest)
+        bucket = bucket_of(flow_hash)
         flows = self.flows_by_bucket[bucket]
-        flows.discard(digest)
+        flows.discard(flow_hash)
         if not flows:
             del self.flows_by_bucket[bucket]
 
--- a/src/siskinshift/routing/chooser.py
+++ b/src/siskinshift/routing/chooser.py
@@ -121,10 +121,10 @@
         service = tables.view.services_by_address.get(packet.service_address)
         if service is None:
             return DropPacket(ErrorKind.UNKNOWN_ADDRESS)
-        hash_value = hash_flow(
+        flow_hash = hash_flow(
             caller=packet.caller, service_address=packet.service_address
         )
-        agent = tables.bucket_table_of(service).primary_of(bucket_of(hash_value))
+        agent = tables.bucket_table_of(service).primary_of(bucket_of(flow_hash))
         if agent is None:
             return DropPacket(ErrorKind.NO_MEMBER)
         return SendTo(agent)
