--- a/src/siskinshift/agent/connection_commands.py
+++ b/src/siskinshift/agent/connection_commands.py
@@ -95,7 +95,7 @@
 
 @frozen
 class FailResponse:
-    """Command: send the final response of a request that the upstream did not answer.
+    """Command: send the final response of a request that got none from the upstream.
 
     Attributes:
         stream_id: Stream of the request.
@@ -144,5 +144,5 @@
         self._post(AbortResponse(self._stream_id))
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Writes the final response of a request that the upstream did not answer."""
+        """Writes the final response of a request without a response of the upstream."""
         self._post(FailResponse(self._stream_id, error, retry_after))
--- a/src/siskinshift/agent/http_requests.py
+++ b/src/siskinshift/agent/http_requests.py
@@ -36,7 +36,7 @@
         """Ends an incomplete response so that the caller can detect it."""
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Writes the final response of a request that the upstream did not answer."""
+        """Writes the final response of a request without a response of the upstream."""
 
 
 @frozen(eq=False)
--- a/src/siskinshift/agent/life_cycle.py
+++ b/src/siskinshift/agent/life_cycle.py
@@ -1,4 +1,4 @@
-"""Decides which state and weight an agent announces. Has no clock of its own.
+"""Computes the state and weight that an agent announces. No I/O, no clock.
 
 A new agent at full weight would get its full share of new flows while its upstream is
 cold, and their callers would wait. A draining agent that released all buckets at once
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -1,7 +1,7 @@
 """Executes the load gate's actions for the requests of an agent.
 
 The gate decides without I/O. The runner holds the lock around each decision, then
-starts exchanges, answers callers and sends messages to peers.
+starts exchanges, responds to callers and sends messages to peers.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/configuration/records.py
+++ b/src/siskinshift/configuration/records.py
@@ -181,7 +181,7 @@
         try:
             services.append(decode_service(entry))
         except BadMessageError:
-            # One malformed record must not prevent decoding the others.
+            # One malformed record must not prevent decoding of the rest.
             unreadable.append(entry.key)
     return services, unreadable
 
--- a/src/siskinshift/configuration/store.py
+++ b/src/siskinshift/configuration/store.py
@@ -195,7 +195,7 @@
     def _try_write(
         self, record: Service, configuration: Configuration
     ) -> AcceptedChange | None:
-        """Writes a record; returns None after a conflict that rules it out for good."""
+        """Writes a record; returns None if a conflict rules it out permanently."""
         current = configuration.services_by_id.get(record.service_id)
         key = service_key(record.service_id)
         root = configuration.root.with_change(record.change_id, record.service_id)
--- a/src/siskinshift/control/server.py
+++ b/src/siskinshift/control/server.py
@@ -237,7 +237,7 @@
             return _error_response(error.kind, str(error))
         except Exception as error:
             # An error in a handler must not end the task of the connection, since the
-            # sender would take this process for unreachable. It gets a typed error.
+            # sender would treat this process as unreachable. It gets a typed error.
             return _error_response(ErrorKind.INTERNAL, type(error).__name__)
         return ControlResponse(HTTPStatus.OK, *compress_body(encode_message(reply)))
 
--- a/src/siskinshift/core/requests.py
+++ b/src/siskinshift/core/requests.py
@@ -189,7 +189,8 @@
         """Handles the end of a started request and frees its slot.
 
         If `result` is given, the returned actions complete a request without a
-        response: it is restarted, refused or failed. Otherwise the driver responds.
+        response: it is restarted, refused or failed. Otherwise the request runner
+        responds.
         """
 
     def cancel(self, request_id: int, *, now: float) -> list[GateAction]:
--- a/src/siskinshift/flows/bucket_claims.py
+++ b/src/siskinshift/flows/bucket_claims.py
@@ -33,8 +33,8 @@
     from siskinshift.settings.generated import FlowsSettings
 
 
-# How many timeouts to wait for a peer that replies but does not confirm: its view is
-# stale, and it may still create flows.
+# Number of completion timeouts to wait for a peer that replies but does not confirm:
+# its view is stale, and it may still create flows.
 DISAGREEMENT_TIMEOUTS = 6
 # Delay after a scan that found nothing to request; below the first retry delay of a
 # claim.
@@ -116,7 +116,7 @@
         *,
         now: float,
     ) -> None:
-        """Starts and leaves claims as primaries change.
+        """Starts claims of gained buckets and marks claims of lost buckets as left.
 
         Args:
             state: The service's flows.
@@ -282,8 +282,9 @@
         if notes.receiver_incarnation != self._peers.incarnation:
             return []
         state.attempts_by_peer[notes.sender_id] = 0
-        # Otherwise two agents that join at once, each unknown to the other, would both
-        # complete their claims.
+        # Claimants that the sender has confirmed but that this agent's view lacks must
+        # confirm too. Otherwise two agents that join at once, each unknown to the
+        # other, would both complete their claims.
         unknown_ids = {i for i in notes.given_to if not self._peers.has_member(i)}
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
--- a/src/siskinshift/flows/handover.py
+++ b/src/siskinshift/flows/handover.py
@@ -3,8 +3,8 @@
 An agent that its own view names primary of a bucket claims the bucket from each peer
 of the service. A peer whose view agrees replies with the list of its flows in the
 bucket and gives up its own claim. Once all peers have replied, the claim is complete:
-the agent has the owner of each flow of the bucket, and it alone may create flows. The
-request to the previous primary is sent last, so that at any time some agent may
+the agent has a note for each flow of the bucket, and it alone may create flows there.
+The request to the previous primary is sent last, so that at any time some agent may
 create flows.
 
 A note is the record at a primary of a flow's owner. It comes from the owner's list, or
@@ -234,7 +234,7 @@
                 continue
             del self.services_by_id[service_id]
             if state.flows_by_bucket:
-                # Its flows continue; claims and notes are void without a service.
+                # Owned flows are kept; claims and notes are void without a service.
                 self.services_by_id[service_id] = ServiceFlows(
                     service_id, flows_by_bucket=state.flows_by_bucket
                 )
--- a/src/siskinshift/flows/pacing.py
+++ b/src/siskinshift/flows/pacing.py
@@ -14,9 +14,9 @@
     """A token bucket of bytes.
 
     When a member leaves or a rack returns, each agent sends lists to each peer at once.
-    Without the limit these crowd out heartbeats and transitions, which share the
-    control budget of 21 KB/s per node. The burst lets a planned change of a few
-    thousand flows pass without waiting.
+    Without the limit these crowd out heartbeats and membership updates, which share the
+    control budget of 21 KB/s per node. The burst covers a planned change of a few
+    thousand flows without a delay.
     """
 
     def __init__(
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -371,7 +371,7 @@
     ) -> list[FlowAction]:
         if self._handover.note_count() >= self._settings.note_limit:
             return [DropEnvelope(ErrorKind.FLOW_LIMIT)]
-        # From here on this agent follows the note: no second agent gets the flow.
+        # This agent now routes by the note, so no second agent may create the flow.
         claim.permit(flow_hash, owner_id, version)
         reply = attrs.evolve(
             envelope,
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -88,7 +88,7 @@
         pending_lists_by_bucket: Lists that primaries have not accepted yet.
         request_at_by_peer: Clock readings of the next requests, seconds.
         attempts_by_peer: Number of requests to a peer since its last confirmation.
-        requests_idle_until: No requests are sent before, seconds.
+        requests_idle_until: Clock reading before which no requests are sent, seconds.
         released: Buckets whose held packets can be routed.
         last_audited_bucket: Last bucket that the periodic audit selected.
     """
--- a/src/siskinshift/load/adaptive_limit.py
+++ b/src/siskinshift/load/adaptive_limit.py
@@ -2,15 +2,15 @@
 
 An upstream may shed load or serve fewer requests than its configured slots. Without a
 limit, each request beyond its capacity is rejected or lost after it was offered, when
-a repetition is no longer safe.
+a retry is no longer safe.
 
 The limit follows additive increase, multiplicative decrease, based on the agent's own
-observations: a response that reports overload, or no response. Slot time alone does
-not lower the limit: if everything is slow for another reason, each agent would cut its
-slots and the service would lose capacity when it has least. An overload signal takes
-off a third, not half, because the limits are small numbers. One slot is added after
-16 consecutive successes, so a limit that is one too high costs at most one lost request
-in 17.
+observations: a response that reports overload, or no response. Slot time alone does not
+lower the limit: if everything is slow for another reason, each agent would cut its
+slots and the service would lose capacity when it has least. An overload signal lowers
+the limit by a third, not half, because the limits are small numbers. One slot is added
+after 16 consecutive successes, so a limit that is one too high costs at most one lost
+request in 17.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/admission.py
+++ b/src/siskinshift/load/admission.py
@@ -1,9 +1,9 @@
 """Admission checks for arriving requests, and the retry hint of a refusal.
 
 The checks handle bursts and saturation. Without them a request waits in the queue for
-its whole time limit and is refused when the response is of no more use to its caller;
-the slots that became free meanwhile served requests that were late as well. Early
-shedding costs the caller one round trip instead of the queue time limit.
+its whole time limit and is refused only when its caller no longer needs the response,
+while free slots are spent on requests that are late as well. Early shedding costs the
+caller one round trip instead of the queue time limit.
 
 The checks are a registry and run in order of registration; the first error decides.
 The wait is estimated from the backlog ahead of the request: the shorter of its group's
--- a/src/siskinshift/load/caller_limits.py
+++ b/src/siskinshift/load/caller_limits.py
@@ -1,7 +1,7 @@
 """Limits on the queued requests of a caller and the requests of an idempotency key.
 
 A few callers or keys may produce most of the load, for example a client that retries
-one save in a tight loop. Without the limits one caller fills its group's queue, and
+one write in a tight loop. Without the limits one caller fills its group's queue, and
 other callers of the group are refused although fair queueing would serve them next.
 
 A quarter of the queue for one caller leaves places for others even if three callers
--- a/src/siskinshift/load/fair_queues.py
+++ b/src/siskinshift/load/fair_queues.py
@@ -98,7 +98,7 @@
 
         Args:
             key: The caller's group.
-            caller: Its IP number.
+            caller: Its IP address.
 
         Returns:
             Number of requests.
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -10,8 +10,8 @@
 - A request that may not be repeated is started once (`StartRequest` or `RunAtPeer`).
   After that each end without a response is a `FailRequest`.
 
-An abandoned request gets its final response in the action list of the event or tick
-that abandons it.
+A request that ends without a response from the upstream gets its final response in the
+actions of the event or tick that ends it.
 """
 
 from __future__ import annotations
@@ -191,7 +191,7 @@
             request_id: The request; an unknown id (late or duplicate) is ignored.
             succeeded: Whether the upstream succeeded.
             now: Clock reading, seconds.
-            result: How it ended; without it the driver responds to the caller.
+            result: How it ended; without it the request runner responds to the caller.
 
         Returns:
             The actions to carry out.
--- a/src/siskinshift/load/group_queue.py
+++ b/src/siskinshift/load/group_queue.py
@@ -48,7 +48,7 @@
         """Returns the number of queued requests of one caller.
 
         Args:
-            caller: The caller's IP number.
+            caller: The caller's IP address.
 
         Returns:
             The number of its requests in the queue.
--- a/src/siskinshift/load/importance.py
+++ b/src/siskinshift/load/importance.py
@@ -1,10 +1,10 @@
 """Priority order of the services that share one upstream class.
 
-A service that tolerates delay (dossiers, plans) may share slots with one whose late
-responses do harm (editor, marketplace). Without priorities a batch of PDFs delays
-saves. The more important service goes first. The others keep a small floor (5 % of slot
-time), because a service that gets nothing at all for an hour looks broken and its
-callers' retries add to the load.
+A service that tolerates delay, such as one that generates documents, may share slots
+with one whose late responses do harm, such as an editor. Without priorities a batch of
+generated documents delays the editor's writes. The more important service goes first.
+Less important ones keep a small floor (5 % of slot time), because a service that gets
+nothing at all for an hour looks broken and its callers' retries add to the load.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/peer_requests.py
+++ b/src/siskinshift/load/peer_requests.py
@@ -20,8 +20,8 @@
     from siskinshift.messages.load import ReserveSlot
 
 
-# Time in which a peer must reply before the request is queued here: some ten round
-# trips.
+# Time in which a peer must reply before the request is queued at its own agent: about
+# ten round trips.
 HOLD_TIMEOUT_SECONDS = 0.02
 # Open reservations of peers for each configured slot.
 MAX_PEER_REQUESTS_PER_SLOT = 4
--- a/src/siskinshift/load/peers.py
+++ b/src/siskinshift/load/peers.py
@@ -6,9 +6,9 @@
 all of them would send to the peer with the lowest report (herding).
 
 Two random candidates are queried and their replies decide; the load reports only order
-the two. The pause after refusals grows from 20 to 320 ms: at saturation every agent is
-full, and a query for each queued request would cost messages without benefit. The pause
-is jittered so that agents do not query at the same time.
+the two. The pause after refusals doubles from 20 to at most 80 ms: at saturation every
+agent is full, and a query for each queued request would cost messages without benefit.
+Jitter shortens each pause by up to half, so that agents do not query at the same time.
 
 Handover of queued requests alone would leave an overloaded agent fully busy while its
 peers are half idle. So an agent that is busier than the mean of its service offers a
--- a/src/siskinshift/load/ramp.py
+++ b/src/siskinshift/load/ramp.py
@@ -4,8 +4,8 @@
 the idle upstream looks best to all peers, gets its full load at once and responds
 slowly; after a rollout with many new upstreams the service degrades.
 
-The fraction of full load grows linearly from a tenth to 1 over the ramp time. Requests
-are what warms up an upstream, so the ramp never starts at zero. Own requests of a
+The fraction of full load grows linearly from a tenth to 1 over the ramp duration. It
+does not start at zero, because only requests warm up an upstream. Own requests of a
 one-slot upstream still run; the ramp controls how many requests it accepts from peers,
 how many it hands over, and which weight it announces for new flows.
 """
--- a/src/siskinshift/load/retries.py
+++ b/src/siskinshift/load/retries.py
@@ -41,7 +41,7 @@
             work: The request.
             result: How the attempt ended.
             gate_responds: Whether the gate responds to the caller; otherwise the
-                driver has responded.
+                request runner has responded.
             now: Clock reading, seconds.
 
         Returns:
--- a/src/siskinshift/load/shares.py
+++ b/src/siskinshift/load/shares.py
@@ -135,7 +135,8 @@
             self._factors_by_group[key] = bounded
 
     def _fair_usage(self, totals: dict[GroupKey, _GroupTotal]) -> dict[GroupKey, float]:
-        # Max-min fairness: slots that a group does not use go to the others by share.
+        # Max-min fairness: slots that a group does not use are divided among the other
+        # groups by share.
         fair_usage_by_group: dict[GroupKey, float] = {}
         remaining = sum(total.used for total in totals.values())
         unresolved_keys = set(totals)
--- a/src/siskinshift/load/usage.py
+++ b/src/siskinshift/load/usage.py
@@ -2,7 +2,7 @@
 
 A group's flows may be pinned to few agents or spread unevenly. Without sums over the
 service each agent is fair locally while the service is not: a group that is alone at
-some agents gets all of their slots and its share of the other agents.
+some agents gets all of their slots in addition to its share of the slots elsewhere.
 
 Usage is the mean number of slots in use over about four seconds: long enough to average
 out single requests, short enough to show a change within the few seconds in which
--- a/src/siskinshift/load/virtual_time.py
+++ b/src/siskinshift/load/virtual_time.py
@@ -6,8 +6,8 @@
 share either.
 
 A key that was idle starts at the current virtual time. It gets its share from the next
-free slot on, because a share lent to others returns at once, but no credit for its idle
-time, which would let it block others in a burst.
+free slot on, but no credit for its idle time: with such a credit its next burst would
+block all other keys.
 
 Source: Goyal, Vin, Cheng, "Start-time Fair Queueing", 1996.
 """
--- a/src/siskinshift/membership/agent.py
+++ b/src/siskinshift/membership/agent.py
@@ -221,8 +221,8 @@
             self._remove_unlisted({member.member_id for member in reply.members}, now)
 
     def _remove_unlisted(self, listed_ids: set[str], now: float) -> None:
-        # Failure: a peer left and expired while this agent was partitioned. No
-        # watcher has it any more, so none would ever report it as gone.
+        # If a peer left and expired while this agent was partitioned, no watcher lists
+        # it any more, so none would ever report it as gone.
         for member_id, member in tuple(self.table.members_by_id.items()):
             if member_id in listed_ids or member_id == self.own.member_id:
                 continue
--- a/src/siskinshift/membership/announcer.py
+++ b/src/siskinshift/membership/announcer.py
@@ -70,7 +70,7 @@
 
         Args:
             own: State of the process.
-            settings: Intervals and seeds.
+            settings: Intervals and seeds, which are balancers to contact first.
             random: Source of jitter.
         """
         self.own = attrs.evolve(own, version=own_version_above(0))
@@ -117,9 +117,9 @@
     def refute(self, known: Stamp, *, now: float) -> bool:
         """Refutes a newer state that peers have of this process.
 
-        Failure: a live member was expelled, or an earlier process of the same name
-        had a clock that ran ahead; peers would ignore all its states. The own state
-        is therefore raised above the one that they have.
+        Peers may have expelled this live member, or the clock of an earlier process
+        of the same name may have run ahead. Peers would then ignore all states of
+        this process, so its own state is raised above the one that they have.
 
         Args:
             known: Stamp of the state that peers have.
@@ -151,7 +151,7 @@
         interval = self._settings.heartbeat_interval
         current_targets = {endpoint: targets.get(endpoint) for endpoint in wanted}
         # The first heartbeats to new watchers are spread over a quarter interval. When
-        # a balancer dies, many members get the same new watcher, which would otherwise
+        # a balancer fails, many members get the same new watcher, which would otherwise
         # receive all of them at once.
         self._targets_by_endpoint = {
             endpoint: target
--- a/src/siskinshift/membership/assignment.py
+++ b/src/siskinshift/membership/assignment.py
@@ -1,11 +1,11 @@
 """Assigns watchers to members by rendezvous hashing over failure domains.
 
-A member is watched from its own region while that has balancers, so that a partition
-between regions makes no member unresponsive. The region's failure domains are ranked
-by rendezvous hashing and the watchers are distributed over them in turn. Within a
-domain the balancers are ranked by rendezvous hashing again. All processes that have
-the same balancers in their tables get the same watchers, and a change of one balancer
-moves only the members that it watched or now watches.
+A member is watched from its own region while that region has balancers, so that a
+partition between regions makes no member unresponsive. The region's failure domains are
+ranked by rendezvous hashing, and the watchers are distributed over them in turn. Within
+a domain the balancers are ranked by rendezvous hashing again. All processes that have
+the same balancers in their tables compute the same watchers, and a change of one
+balancer moves only the members that it watched or now watches.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/membership/balancer.py
+++ b/src/siskinshift/membership/balancer.py
@@ -1,7 +1,8 @@
 """Runs the balancer's part of the membership protocol.
 
-A balancer has the state of all members. It watches some of them for failures, passes
-updates on to linked balancers, and compares its state with others periodically.
+A balancer stores the state of all members. It watches some of them for failures,
+forwards updates to linked balancers and periodically compares its state with that of
+another balancer.
 """
 
 from __future__ import annotations
@@ -268,7 +269,7 @@
         self._merge(self.own, None, now)
 
     def publish_merged_services(self, *, now: float) -> None:
-        """Passes on records that other modules merged into the services.
+        """Sends records that other modules merged into the services to neighbours.
 
         Args:
             now: Clock reading, seconds.
--- a/src/siskinshift/membership/failure_detector.py
+++ b/src/siskinshift/membership/failure_detector.py
@@ -23,7 +23,8 @@
 LATE_INTERVALS = 1.3
 # Fewer late members than this are unrelated failures, not a network partition.
 MIN_PARTITION_MEMBERS = 3
-# A new watcher's member first has to learn about it from the other watchers.
+# A member sends heartbeats to a new watcher only after another watcher has announced
+# the new one to it.
 TAKEOVER_GRACE_SECONDS = 2.5
 # A longer pause between two checks means that this process itself was stopped;
 # a shorter one is ordinary scheduling delay.
@@ -32,7 +33,7 @@
 # Time for the replies to the first probes to arrive.
 PROBE_REPLY_SECONDS = 0.1
 # Watchers exchange the age of a member's last message, and the delay of the reply
-# makes that message seem more recent. Without this margin two watchers of a dead
+# makes that message seem more recent. Without this margin two watchers of a failed
 # member would refresh each other's timestamp with every query.
 LAST_SEEN_MARGIN_SECONDS = 0.25
 
@@ -65,9 +66,9 @@
 class FailureDetector:
     """Detects failures among the members that one balancer watches.
 
-    Failure: the watcher's own network, or that of a whole failure domain, is cut.
-    Most members seem to die at once, would all be expelled, and all rejoin at once
-    afterwards. While half or more of a domain's watched members are late, the
+    If the watcher's own network or that of a whole failure domain is cut, most
+    members appear to fail at once. They would all be expelled and would all rejoin at
+    once afterwards. While half or more of a domain's watched members are late, the
     timeouts of that domain are multiplied by `doubt_factor`. They are multiplied for
     all members when half of all are late and these span two domains or more. A
     watcher of few members may not see enough of them to detect a partition, so the
@@ -188,7 +189,7 @@
         return FailureVerdicts(probe, tuple(suspect), tuple(expel))
 
     def _discount_own_pause(self, now: float) -> None:
-        # Failure: this process was stopped for seconds and finds every member
+        # Otherwise a process that was stopped for seconds would find every member
         # unresponsive when it resumes. The duration of the pause does not count.
         if self._checked_at is not None:
             pause = now - self._checked_at - MAX_CHECK_PAUSE_SECONDS
@@ -232,9 +233,9 @@
 
 
 def _had_time_to_reply(watched: _Watched, now: float) -> bool:
-    # Failure: two heartbeats are lost in a row, and the next check finds the member
-    # both late and past the suspicion timeout before any probe was sent. At 10 % loss
-    # a fleet of thousands produces a hundred false suspicions a second.
+    # If two heartbeats are lost in a row, the next check may find the member both late
+    # and past the suspicion timeout before any probe was sent. At 10 % loss a fleet of
+    # thousands would produce a hundred false suspicions a second.
     first = watched.first_probed_at
     return first is not None and now - first >= PROBE_REPLY_SECONDS
 
--- a/src/siskinshift/membership/gossip.py
+++ b/src/siskinshift/membership/gossip.py
@@ -16,8 +16,8 @@
     from collections.abc import Iterable
 
 
-# An update waits this long for others to share its batch. It is also all that a hop
-# adds to the latency while few updates are pending.
+# An update waits this long for further updates in its batch. While few updates are
+# pending, a hop adds no other latency.
 BATCH_DELAY_SECONDS = 0.01
 # Per link: a change and its retries are sent at once, a flood is paced.
 BATCH_BURST = 4.0
@@ -229,7 +229,7 @@
         return link
 
     def _remove_old_updates(self, now: float) -> None:
-        # Removes from the oldest on, without a copy: there are thousands after a start.
+        # Removes the oldest first, without a copy: there are thousands after a start.
         recent = self._updated_at_by_key
         while recent:
             oldest = next(iter(recent))
--- a/src/siskinshift/membership/node.py
+++ b/src/siskinshift/membership/node.py
@@ -38,7 +38,7 @@
 # Least interval between two views. A change after a longer pause is published at once;
 # in a flood of changes the interval limits the cost of building views.
 VIEW_INTERVAL_SECONDS = 0.25
-# A process that leaves notifies its watchers, but doesn't wait for dead ones.
+# A process that leaves notifies its watchers, but doesn't wait for failed ones.
 LEAVE_TIMEOUT_SECONDS = 0.1
 
 
@@ -136,7 +136,7 @@
             self._notify()
 
     def publish_merged_services(self) -> None:
-        """Passes on and publishes configuration that was merged into `services`."""
+        """Publishes configuration that was merged into `services`, also to peers."""
         with self._condition:
             self._participant.publish_merged_services(now=self._clock())
             self._notify()
--- a/src/siskinshift/membership/participant.py
+++ b/src/siskinshift/membership/participant.py
@@ -59,4 +59,4 @@
         """Changes the state that the process announces of itself."""
 
     def publish_merged_services(self, *, now: float) -> None:
-        """Handles records that other modules merged into the services."""
+        """Indexes records merged into the services; a balancer also sends them on."""
--- a/src/siskinshift/membership/table.py
+++ b/src/siskinshift/membership/table.py
@@ -109,7 +109,7 @@
 
     Gone members stay in the table but are left out of the hashes. Processes remove
     them at different times, and one that still has a gone member would otherwise
-    send it to the others again forever.
+    keep sending it to its peers forever.
 
     Attributes:
         members_by_id: Known members.
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -161,7 +161,7 @@
                 self._disconnect()
 
     def close(self) -> None:
-        """Closes the client for good and aborts a request of another thread.
+        """Closes the client permanently and aborts a request of another thread.
 
         A process ends with its last thread. Without this, a thread that waits for an
         unresponsive store or reads a long configuration would delay the end by seconds,
