--- a/src/siskinshift/flows/claims.py
+++ b/src/siskinshift/flows/claims.py
@@ -40,7 +40,9 @@
     versions_by_flow: dict[int, int] = Factory(dict)
     permitted: set[int] = Factory(set)
 
-    def note(self, flow_hash: int, owner_id: str, version: int | None = None) -> None:
+    def add_note(
+        self, flow_hash: int, owner_id: str, version: int | None = None
+    ) -> None:
         """Records the owner of a flow.
 
         Args:
@@ -56,8 +58,8 @@
         else:
             self.versions_by_flow[flow_hash] = version
 
-    def forget(self, flow_hash: int) -> None:
-        """Drops a note.
+    def remove_note(self, flow_hash: int) -> None:
+        """Removes a note.
 
         Args:
             flow_hash: Hash of the flow.
@@ -74,7 +76,7 @@
             owner_id: The peer.
             version: Version of the peer's view when it sent the query.
         """
-        self.note(flow_hash, owner_id, version)
+        self.add_note(flow_hash, owner_id, version)
         self.permitted.add(flow_hash)
 
     def mark_notes_unverified(self) -> None:
@@ -95,26 +97,26 @@
                 continue
             # A list built before the owner's query does not cover the flow.
             if self.versions_by_flow.get(flow_hash, -1) <= version:
-                self.forget(flow_hash)
+                self.remove_note(flow_hash)
         for flow_hash in flows:
             known_id = self.owners_by_flow.get(flow_hash, owner_id)
             # If an owner that was declared gone returns after the flow was created
             # again on another agent, the caller stays with that agent.
             if known_id == owner_id or flow_hash in self.versions_by_flow:
-                self.note(flow_hash, owner_id)
+                self.add_note(flow_hash, owner_id)
 
-    def forget_owner(self, owner_id: str) -> None:
-        """Drops all notes about the flows of an owner that is gone.
+    def remove_notes_of(self, owner_id: str) -> None:
+        """Removes all notes about the flows of an owner that is gone.
 
         Args:
             owner_id: The owner.
         """
         for flow_hash, known_id in tuple(self.owners_by_flow.items()):
             if known_id == owner_id:
-                self.forget(flow_hash)
+                self.remove_note(flow_hash)
 
-    def forget_listed(self, owner_id: str) -> None:
-        """Drops the notes from the lists of an owner that has restarted.
+    def remove_listed_notes_of(self, owner_id: str) -> None:
+        """Removes the notes from the lists of an owner that has restarted.
 
         Permissions stay: the query may have come from the new incarnation.
 
@@ -123,4 +125,4 @@
         """
         for flow_hash, known_id in tuple(self.owners_by_flow.items()):
             if known_id == owner_id and flow_hash not in self.versions_by_flow:
-                self.forget(flow_hash)
+                self.remove_note(flow_hash)
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -248,7 +248,7 @@
             if self._peers.incarnation_of(note.owner_id) != note.owner_incarnation:
                 continue
             if note.flow_hash not in claim.owners_by_flow:
-                claim.note(note.flow_hash, note.owner_id, note.owner_version)
+                claim.add_note(note.flow_hash, note.owner_id, note.owner_version)
 
     def _grants_of(
         self, state: ServiceFlows, buckets: Iterable[int]
--- a/src/siskinshift/flows/handover.py
+++ b/src/siskinshift/flows/handover.py
@@ -101,9 +101,9 @@
             return []
         for state in self.services_by_id.values():
             for member_id in change.lost:
-                state.forget_owner(member_id)
+                state.remove_notes_of(member_id)
             for member_id in change.restarted:
-                state.forget_listed(member_id)
+                state.remove_listed_notes_of(member_id)
         self._update_served_services(change.own)
         actions: list[SendNotes] = []
         for state in self.services_by_id.values():
@@ -139,7 +139,7 @@
             return []
         if is_new:
             for served in self.services_by_id.values():
-                served.forget_listed(notes.sender_id)
+                served.remove_listed_notes_of(notes.sender_id)
         actions: list[SendNotes] = []
         if notes.claimed_buckets:
             actions += self._claims.on_claim(state, notes, now=now)
--- a/src/siskinshift/flows/note_audit.py
+++ b/src/siskinshift/flows/note_audit.py
@@ -47,7 +47,7 @@
         """
         for member_id in self._peers.gone_ids():
             # A late query of a peer that is gone may have left a note.
-            state.forget_owner(member_id)
+            state.remove_notes_of(member_id)
         _unverify_next_bucket(state)
         buckets_by_owner: dict[str, set[int]] = {}
         versions_by_owner: dict[str, int] = {}
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -208,9 +208,9 @@
             flow_hash, expires_at = next(iter(self._linger_expiry_by_flow.items()))
             if expires_at > now:
                 return
-            self._forget_flow(flow_hash, now=now)
+            self._remove_flow(flow_hash, now=now)
 
-    def _forget_flow(self, flow_hash: int, *, now: float) -> None:
+    def _remove_flow(self, flow_hash: int, *, now: float) -> None:
         self._linger_expiry_by_flow.pop(flow_hash, None)
         state = self._find_service_flows(flow_hash)
         if state is not None:
@@ -239,7 +239,7 @@
             if claim is not None and self._may_create(claim, now=now):
                 del self._linger_expiry_by_flow[flow_hash]
                 return [self._deliver(state, flow_hash, envelope, is_new=True)]
-            self._forget_flow(flow_hash, now=now)
+            self._remove_flow(flow_hash, now=now)
         if envelope.may_create:
             return self._on_permission(state, claim, flow_hash, envelope, now=now)
         if envelope.disclaimed and claim is not None:
@@ -306,7 +306,7 @@
             return self._disclaim(envelope, version=envelope.view_version)
         owner_id = claim.owners_by_flow.get(flow_hash, envelope.querier_id)
         if owner_id == envelope.querier_id and not claim.is_complete:
-            claim.forget(flow_hash)
+            claim.remove_note(flow_hash)
             return self._create(state, flow_hash, envelope)
         plain_envelope = _without_query(envelope)
         return self._route_with_claim(state, claim, flow_hash, plain_envelope, now=now)
@@ -324,7 +324,7 @@
         known_version = claim.versions_by_flow.get(flow_hash, -1)
         if claim.owners_by_flow.get(flow_hash) == envelope.querier_id:
             if known_version <= envelope.view_version:
-                claim.forget(flow_hash)
+                claim.remove_note(flow_hash)
         elif not claim.is_complete and claim.left_at is None:
             return self._hold(state, flow_hash, plain_envelope, now=now)
         return self._route_with_claim(state, claim, flow_hash, plain_envelope, now=now)
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -163,23 +163,23 @@
         self.requests_idle_until = now
         self.attempts_by_peer[peer_id] = 0
 
-    def forget_owner(self, owner_id: str) -> None:
-        """Drops all notes about the flows of an owner that is gone.
+    def remove_notes_of(self, owner_id: str) -> None:
+        """Removes all notes about the flows of an owner that is gone.
 
         Args:
             owner_id: The owner.
         """
         for claim in self.claims_by_bucket.values():
-            claim.forget_owner(owner_id)
+            claim.remove_notes_of(owner_id)
 
-    def forget_listed(self, owner_id: str) -> None:
-        """Drops the notes from the lists of an owner that has restarted.
+    def remove_listed_notes_of(self, owner_id: str) -> None:
+        """Removes the notes from the lists of an owner that has restarted.
 
         Args:
             owner_id: The owner.
         """
         for claim in self.claims_by_bucket.values():
-            claim.forget_listed(owner_id)
+            claim.remove_listed_notes_of(owner_id)
 
     def note_count(self) -> int:
         """Counts the stored notes.
