--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -206,7 +206,9 @@
             self._state.retry_budget.record_success()
         gate_responds = result is not None
         return [
-            *self._retry_policy.attempt_ended(work, run_result, gate_responds, now=now),
+            *self._retry_policy.handle_attempt_end(
+                work, run_result, gate_responds, now=now
+            ),
             *self._dispatcher.dispatch(now=now),
         ]
 
--- a/src/siskinshift/load/retries.py
+++ b/src/siskinshift/load/retries.py
@@ -32,7 +32,7 @@
         """
         self._state = state
 
-    def attempt_ended(
+    def handle_attempt_end(
         self, work: WorkItem, result: RunResult, gate_responds: bool, *, now: float
     ) -> list[GateAction]:
         """Handles the end of an attempt, here or at a peer.
