--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -227,7 +227,7 @@
     def _on_flow_end(self, flow_hash: int) -> None:
         with self._lock:
             service_id = self._router.service_of(flow_hash)
-            actions = self._router.flow_ended(flow_hash, now=monotonic_clock())
+            actions = self._router.on_flow_ended(flow_hash, now=monotonic_clock())
         if service_id:
             # Flows that remain when the process stops are broken.
             self.telemetry.record_flow(service_id, broken=self.stopping.is_set())
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -402,7 +402,7 @@
         assert owner.router is not None
         flow.ended_at = self.now
         flow.owner = None
-        self._carry_out(owner, owner.router.flow_ended(flow.digest, now=self.now))
+        self._carry_out(owner, owner.router.on_flow_ended(flow.digest, now=self.now))
 
     def deliver(self, index: int, *, copy: bool = False) -> None:
         """Delivers a message.
@@ -580,7 +580,7 @@
             router = self.router_of(member_id)
             self._carry_out(
                 self.nodes_by_id[member_id],
-                router.flow_ended(flow.digest, now=self.now),
+                router.on_flow_ended(flow.digest, now=self.now),
             )
 
     def _start_agent(self, member_id: str, upstream_class: str, weight: int) -> None:
@@ -739,7 +739,7 @@
         if flow.ended_at is not None:
             # A late copy began it anew; it will be idle and end again.
             assert node.router is not None
-            node.router.flow_ended(flow.digest, now=self.now)
+            node.router.on_flow_ended(flow.digest, now=self.now)
             return
         here = (node.node_id, member.incarnation)
         moved = self._live_owner(flow) is not None and flow.owner != here
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -67,7 +67,7 @@
         else:
             state.pending_lists_by_bucket.pop(bucket, None)
 
-    def flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
+    def on_flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
         """Removes an owned flow and schedules a list without it.
 
         Args:
--- a/src/siskinshift/flows/handover.py
+++ b/src/siskinshift/flows/handover.py
@@ -156,7 +156,7 @@
             actions += self._audit.on_audit(state, notes, now=now)
         return actions
 
-    def flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
+    def on_flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
         """Removes an owned flow and schedules the update of its primary.
 
         Args:
@@ -164,7 +164,7 @@
             flow_hash: Hash of the flow.
             now: Clock reading, seconds.
         """
-        self._lists.flow_ended(state, flow_hash, now=now)
+        self._lists.on_flow_ended(state, flow_hash, now=now)
 
     def on_pause(self, *, now: float) -> None:
         """Restarts all claims after a pause, in which peers may have taken them over.
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -127,7 +127,7 @@
             *self._route_released(now=now),
         ]
 
-    def flow_ended(self, flow_hash: int, *, now: float) -> list[FlowAction]:
+    def on_flow_ended(self, flow_hash: int, *, now: float) -> list[FlowAction]:
         """Marks a flow as ended; it is removed after `LINGER_SECONDS`.
 
         Args:
@@ -214,7 +214,7 @@
         self._linger_expiry_by_flow.pop(flow_hash, None)
         state = self._find_service_flows(flow_hash)
         if state is not None:
-            self._handover.flow_ended(state, flow_hash, now=now)
+            self._handover.on_flow_ended(state, flow_hash, now=now)
             self._flow_count -= 1
 
     def _route_released(self, *, now: float) -> list[FlowAction]:
