--- a/src/siskinshift/kv/guard.py
+++ b/src/siskinshift/kv/guard.py
@@ -97,15 +97,15 @@
         self._tokens = burst
         self._refilled_at = float("-inf")
 
-    def try_take(self, *, now: float, reserve: float = 0.0) -> bool:
-        """Takes a token if that leaves the reserve untouched.
+    def try_consume(self, *, now: float, reserve: float = 0.0) -> bool:
+        """Consumes a token if that leaves the reserve untouched.
 
         Args:
             now: Clock reading, seconds.
             reserve: Tokens to leave in the bucket.
 
         Returns:
-            Whether a token was taken.
+            Whether a token was consumed.
         """
         refilled = max(0.0, now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + refilled)
@@ -169,7 +169,7 @@
         if now < self._open_until:
             return Admission.CIRCUIT_OPEN
         reserve = self._reserve if call_class is CallClass.BACKGROUND else 0.0
-        if not self._bucket.try_take(now=now, reserve=reserve):
+        if not self._bucket.try_consume(now=now, reserve=reserve):
             return Admission.OVER_BUDGET
         if self._failures >= FAILURE_THRESHOLD:
             # This request is the probe; others are rejected until it completes.
