--- a/src/siskinshift/agent/handover.py
+++ b/src/siskinshift/agent/handover.py
@@ -61,7 +61,7 @@
 MESSAGE_TIMEOUT_SECONDS = 5.0
 # Time for the response to arrive after the deadline of the request.
 RUN_GRACE_SECONDS = 1.0
-# The gate ends the wait by itself; this covers a late tick.
+# The gate ends the wait with a tick; this covers a late tick.
 GRANT_GRACE_SECONDS = 0.5
 
 
--- a/src/siskinshift/flows/bucket_claims.py
+++ b/src/siskinshift/flows/bucket_claims.py
@@ -12,9 +12,9 @@
 from siskinshift.flows.flow_lists import valid_buckets
 from siskinshift.flows.notes_writer import retry_delay
 from siskinshift.flows.service_flows import ALL_BUCKETS
-from siskinshift.flows.service_flows import GrantedFlow
 from siskinshift.flows.service_flows import PeerClaim
 from siskinshift.flows.service_flows import PendingList
+from siskinshift.flows.service_flows import PermittedFlow
 from siskinshift.flows.service_flows import ReleasedBucket
 from siskinshift.messages.flows import FlowNotes
 from siskinshift.routing.buckets import build_bucket_table
@@ -41,7 +41,7 @@
 REQUEST_IDLE_SECONDS = 0.25
 # How long permissions in relinquished buckets are included in lists: they cover
 # packets still in flight to the peer that may create the flow.
-GRANT_RETENTION_SECONDS = 30.0
+PERMISSION_RETENTION_SECONDS = 30.0
 
 
 class BucketClaims:
@@ -326,17 +326,17 @@
             state: The service.
             now: Clock reading, seconds.
         """
-        for bucket, granted_by_flow in tuple(state.granted_by_bucket.items()):
-            for flow_hash, granted in tuple(granted_by_flow.items()):
-                if granted.expires_at <= now:
-                    del granted_by_flow[flow_hash]
-            if not granted_by_flow:
-                del state.granted_by_bucket[bucket]
+        for bucket, permitted_by_flow in tuple(state.permitted_by_bucket.items()):
+            for flow_hash, permitted in tuple(permitted_by_flow.items()):
+                if permitted.expires_at <= now:
+                    del permitted_by_flow[flow_hash]
+            if not permitted_by_flow:
+                del state.permitted_by_bucket[bucket]
         for bucket, confirmed_at_by_peer in tuple(
             state.confirmations_by_bucket.items()
         ):
             for peer_id, confirmed_at in tuple(confirmed_at_by_peer.items()):
-                if now - confirmed_at >= GRANT_RETENTION_SECONDS:
+                if now - confirmed_at >= PERMISSION_RETENTION_SECONDS:
                     del confirmed_at_by_peer[peer_id]
             if not confirmed_at_by_peer:
                 del state.confirmations_by_bucket[bucket]
@@ -450,13 +450,15 @@
         if claim is None:
             return
         state.incomplete_buckets.discard(bucket)
-        expires_at = now + GRANT_RETENTION_SECONDS
-        granted = {
-            flow_hash: GrantedFlow(claim.owners_by_flow[flow_hash], version, expires_at)
+        expires_at = now + PERMISSION_RETENTION_SECONDS
+        permitted = {
+            flow_hash: PermittedFlow(
+                claim.owners_by_flow[flow_hash], version, expires_at
+            )
             for flow_hash, version in claim.versions_by_flow.items()
         }
-        if granted:
-            state.granted_by_bucket.setdefault(bucket, {}).update(granted)
+        if permitted:
+            state.permitted_by_bucket.setdefault(bucket, {}).update(permitted)
         state.released.append(ReleasedBucket(bucket))
 
 
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -150,7 +150,7 @@
                     for bucket in batch
                     for flow_hash in state.flows_by_bucket.get(bucket, ())
                 ),
-                notes=tuple(self._grants_of(state, batch)),
+                notes=tuple(self._permissions_of(state, batch)),
                 given_to=self._confirmed_peers(state, batch, peer_id),
                 receiver_incarnation=peer_claim.incarnation if peer_claim else 0,
                 confirmed_version=peer_claim.version if peer_claim else 0,
@@ -195,7 +195,7 @@
             claim.replace_list(notes.sender_id, flows, notes.sender_version)
             if flows:
                 state.released.append(ReleasedBucket(bucket, frozenset(flows)))
-        self._apply_grants(state, notes)
+        self._apply_permissions(state, notes)
         return self._accept(state, notes, buckets), buckets
 
     def on_acceptance(self, state: ServiceFlows, notes: FlowNotes) -> None:
@@ -238,7 +238,7 @@
         )
         return self._writer.send(notes.sender_id, message)
 
-    def _apply_grants(self, state: ServiceFlows, notes: FlowNotes) -> None:
+    def _apply_permissions(self, state: ServiceFlows, notes: FlowNotes) -> None:
         for note in notes.notes:
             claim = state.claims_by_bucket.get(bucket_of(note.flow_hash))
             if claim is None or state.owns(note.flow_hash):
@@ -250,16 +250,18 @@
             if note.flow_hash not in claim.owners_by_flow:
                 claim.add_note(note.flow_hash, note.owner_id, note.owner_version)
 
-    def _grants_of(
+    def _permissions_of(
         self, state: ServiceFlows, buckets: Iterable[int]
     ) -> Iterable[FlowNote]:
         for bucket in buckets:
-            for flow_hash, granted in state.granted_by_bucket.get(bucket, {}).items():
+            for flow_hash, permitted in state.permitted_by_bucket.get(
+                bucket, {}
+            ).items():
                 yield FlowNote(
                     flow_hash=flow_hash,
-                    owner_id=granted.owner_id,
-                    owner_incarnation=self._peers.incarnation_of(granted.owner_id),
-                    owner_version=granted.version,
+                    owner_id=permitted.owner_id,
+                    owner_incarnation=self._peers.incarnation_of(permitted.owner_id),
+                    owner_version=permitted.version,
                 )
 
     def _confirmed_peers(
@@ -288,7 +290,7 @@
     count = 0
     for bucket in buckets:
         size = len(state.flows_by_bucket.get(bucket, ()))
-        size += len(state.granted_by_bucket.get(bucket, ()))
+        size += len(state.permitted_by_bucket.get(bucket, ()))
         if batch and count + size > MAX_FLOWS_PER_MESSAGE:
             yield batch
             batch, count = [], 0
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -100,8 +100,8 @@
             return [DropEnvelope(ErrorKind.NO_MEMBER)]
         service = view.services_by_address.get(packet.service_address)
         if service is None:
-            # An agent stores the records of its own services only, so an unknown
-            # address belongs to another service.
+            # An agent has the records of its own services only, so an unknown address
+            # belongs to another service.
             return [DropEnvelope(ErrorKind.WRONG_SERVICE)]
         state = self._handover.services_by_id.get(service.service_id)
         if state is None or state.table is None:
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -28,7 +28,7 @@
 
 
 @frozen
-class GrantedFlow:
+class PermittedFlow:
     """A flow that a peer was permitted to create, kept after the bucket has moved.
 
     Attributes:
@@ -83,7 +83,7 @@
         claims_by_bucket: Buckets that the agent is or was primary of.
         incomplete_buckets: Buckets with an incomplete claim.
         peer_claims_by_bucket: Claims of peers that the view does not agree with yet.
-        granted_by_bucket: Recent permissions in relinquished buckets, by flow.
+        permitted_by_bucket: Recent permissions in relinquished buckets, by flow.
         confirmations_by_bucket: Times of recent confirmations, by claiming peer.
         pending_lists_by_bucket: Lists that primaries have not accepted yet.
         request_at_by_peer: Clock readings of the next requests, seconds.
@@ -99,7 +99,7 @@
     claims_by_bucket: dict[int, Claim] = Factory(dict)
     incomplete_buckets: set[int] = Factory(set)
     peer_claims_by_bucket: dict[int, PeerClaim] = Factory(dict)
-    granted_by_bucket: dict[int, dict[int, GrantedFlow]] = Factory(dict)
+    permitted_by_bucket: dict[int, dict[int, PermittedFlow]] = Factory(dict)
     confirmations_by_bucket: dict[int, dict[str, float]] = Factory(dict)
     pending_lists_by_bucket: dict[int, PendingList] = Factory(dict)
     request_at_by_peer: dict[str, float] = Factory(dict)
@@ -206,7 +206,7 @@
         Returns:
             Whether the agent owns flows there or recently permitted some to peers.
         """
-        return bucket in self.flows_by_bucket or bucket in self.granted_by_bucket
+        return bucket in self.flows_by_bucket or bucket in self.permitted_by_bucket
 
 
 ALL_BUCKETS = range(BUCKET_COUNT)
--- a/src/siskinshift/load/importance.py
+++ b/src/siskinshift/load/importance.py
@@ -4,7 +4,7 @@
 with one whose late responses do harm, such as an editor. Without priorities a batch of
 generated documents delays the editor's writes. The more important service goes first.
 Less important ones keep a small floor (5 % of slot time), because a service that gets
-nothing at all for an hour looks broken and its callers' retries add to the load.
+nothing for an hour appears to have failed, and its callers' retries add to the load.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/retries.py
+++ b/src/siskinshift/load/retries.py
@@ -17,7 +17,7 @@
     from siskinshift.load.work import WorkItem
 
 
-# Attempts at an upstream that could not be reached at all.
+# Attempts for a request of which no byte reached an upstream.
 MAX_UNREACHED_ATTEMPTS = 4
 
 
--- a/src/siskinshift/membership/assignment.py
+++ b/src/siskinshift/membership/assignment.py
@@ -140,12 +140,12 @@
             for seed, balancer in zip(domain.seeds, domain.balancers, strict=True)
             if balancer.member_id != own_id
         ]
-        best = []
+        ranked = []
         for _ in range(min(WATCHER_COUNT, len(scored))):
-            top = max(scored, key=lambda pair: pair[0])
-            scored.remove(top)
-            best.append(top[1])
-        return best
+            highest = max(scored, key=lambda pair: pair[0])
+            scored.remove(highest)
+            ranked.append(highest[1])
+        return ranked
 
     def _add(self, balancer: Member) -> None:
         name = domain_of(balancer)
--- a/src/siskinshift/membership/gossip.py
+++ b/src/siskinshift/membership/gossip.py
@@ -55,8 +55,8 @@
     refilled_at: float = 0.0
 
     def refill(self, now: float) -> None:
-        gained = max(0.0, now - self.refilled_at) * self.rate
-        self.tokens = min(self.burst, self.tokens + gained)
+        refilled = max(0.0, now - self.refilled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + refilled)
         self.refilled_at = now
 
 
@@ -249,8 +249,10 @@
         # Services are few and are sent whatever tokens are left, since a change of
         # one must take effect soon.
         keys = [RecordKey(True, key) for key in list(link.services)[:MAX_BATCH_RECORDS]]
-        room = min(MAX_BATCH_RECORDS - len(keys), max(0, int(self._records.tokens)))
-        keys += [RecordKey(False, key) for key in list(link.members)[:room]]
+        member_count = min(
+            MAX_BATCH_RECORDS - len(keys), max(0, int(self._records.tokens))
+        )
+        keys += [RecordKey(False, key) for key in list(link.members)[:member_count]]
         for record_key in keys:
             del _pending_keys(link, record_key)[record_key.key]
         link.batches.tokens -= 1.0
