--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -24,7 +24,7 @@
 
 
 def test_a_new_neighbour_is_sent_recent_updates() -> None:
-    # Some balancers lacked others for a minute after all had started. Updates that
+    # Some balancers lacked peers for a minute after all had started. Updates that
     # arrived before the links existed were pending for no neighbour, and only the
     # slow comparison repaired that.
     gossip = linked_gossip()
