--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -437,7 +437,7 @@
         if work.state is WorkState.BACKING_OFF and work.queued_at <= now:
             return self._retry_policy.requeue(work)
         if work.state is WorkState.RESERVED:
-            return self._peer_requests.time_out(work, now=now)
+            return self._peer_requests.release_if_timed_out(work, now=now)
         return []
 
     # Usage sums.
--- a/src/siskinshift/load/peer_requests.py
+++ b/src/siskinshift/load/peer_requests.py
@@ -61,7 +61,7 @@
         if not self._reservations.is_new(reservation_id):
             return [ReplyToReservation(reservation_id, False)]
         work = self._make_work(message, now=now)
-        if not self._accepts(work, waits=message.wait > 0, now=now):
+        if not self._accepts(work, may_wait=message.wait > 0, now=now):
             self._reservations.end(reservation_id, now=now)
             return [ReplyToReservation(reservation_id, False)]
         self._state.work_by_id[work.request.request_id] = work
@@ -86,13 +86,13 @@
             return False
         if work.state is WorkState.RUNNING:
             return False
-        held_a_slot = work.state is WorkState.RESERVED
-        if held_a_slot:
+        held_slot = work.state is WorkState.RESERVED
+        if held_slot:
             self._state.release_slot(work, None, now=now)
         else:
             self._state.queues.remove(work)
         self.drop(work, now=now)
-        return held_a_slot
+        return held_slot
 
     def start(self, reservation_id: str, *, now: float) -> bool:
         """Starts the request of a granted reservation.
@@ -164,7 +164,7 @@
                 actions += self.refuse(work, now=now)
         return actions
 
-    def time_out(self, work: WorkItem, *, now: float) -> list[GateAction]:
+    def release_if_timed_out(self, work: WorkItem, *, now: float) -> list[GateAction]:
         """Releases a reserved slot that was not used in time.
 
         Args:
@@ -237,7 +237,7 @@
             reservation_id=message.reservation_id,
         )
 
-    def _accepts(self, work: WorkItem, *, waits: bool, now: float) -> bool:
+    def _accepts(self, work: WorkItem, *, may_wait: bool, now: float) -> bool:
         state = self._state
         key = group_key(work)
         if self.is_refusing or self.is_drained or work.request.deadline <= now:
@@ -249,8 +249,8 @@
         if state.random.random() > state.ramp.fraction(now=now):
             return False
         if not len(state.queues):
-            return waits or state.slots.has_free_slot
-        if not waits or not state.shares.is_under_share(key):
+            return may_wait or state.slots.has_free_slot
+        if not may_wait or not state.shares.is_under_share(key):
             return False
         if state.queues.group_length(key) >= state.settings.queue_limit:
             return False
--- a/src/siskinshift/load/shares.py
+++ b/src/siskinshift/load/shares.py
@@ -131,8 +131,10 @@
             )
             step = ratio**DAMPING_EXPONENT
             step = min(MAX_STEP_FACTOR, max(1 / MAX_STEP_FACTOR, step))
-            bounded = min(MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, factor * step))
-            self._factors_by_group[key] = bounded
+            new_factor = min(
+                MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, factor * step)
+            )
+            self._factors_by_group[key] = new_factor
 
     def _fair_usage(self, totals: dict[GroupKey, _GroupTotal]) -> dict[GroupKey, float]:
         # Max-min fairness: slots that a group does not use are divided among the other
