--- a/src/siskinshift/load/virtual_time.py
+++ b/src/siskinshift/load/virtual_time.py
@@ -6,8 +6,8 @@
 share either.
 
 A key that was idle starts at the current virtual time. It gets its share from the next
-free slot on, but no credit for its idle time: with such a credit its next burst would
-block all other keys.
+free slot on, so the share that other keys used meanwhile returns at once. It gets no
+credit for its idle time, with which its next burst would block all other keys.
 
 Source: Goyal, Vin, Cheng, "Start-time Fair Queueing", 1996.
 """
