--- a/src/siskinshift/agent/application.py
+++ b/src/siskinshift/agent/application.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from siskinshift.agent.datagram_flows import DatagramFlows
-from siskinshift.agent.hand_over import RequestHandover
+from siskinshift.agent.handover import RequestHandover
 from siskinshift.agent.life_cycle import AgentLifeCycle
 from siskinshift.agent.request_flows import RequestFlows
 from siskinshift.agent.request_runner import RequestRunner
@@ -73,7 +73,7 @@
                 member_id=node.node_id,
                 incarnation=self.incarnation,
                 slots=settings.agent.slots,
-                ramp_time=settings.flows.ramp_duration,
+                ramp_duration=settings.flows.ramp_duration,
                 settings=settings.load,
                 random=Random(),
                 now=monotonic_clock(),
@@ -192,7 +192,7 @@
         for service in view.services_by_id.values():
             # Adds idle agents to the imbalance metric.
             if service.upstream_class == self.settings.agent.upstream_class:
-                self.telemetry.slot_used(service.service_id, seconds=0.0)
+                self.telemetry.record_slot_time(service.service_id, seconds=0.0)
         self._runner.update(view, upstream_class=self.settings.agent.upstream_class)
         with self._lock:
             actions = self._router.update(view, now=monotonic_clock())
@@ -227,10 +227,10 @@
     def _on_flow_end(self, flow_hash: int) -> None:
         with self._lock:
             service_id = self._router.service_of(flow_hash)
-            actions = self._router.flow_ended(flow_hash, now=monotonic_clock())
+            actions = self._router.on_flow_ended(flow_hash, now=monotonic_clock())
         if service_id:
             # Flows that remain when the process stops are broken.
-            self.telemetry.flow_ended(service_id, broken=self.stopping.is_set())
+            self.telemetry.record_flow(service_id, broken=self.stopping.is_set())
         self._execute(actions)
 
     def _execute(self, actions: list[FlowAction]) -> None:
--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -1,7 +1,7 @@
 """Executes the load gate's actions for the requests of an agent.
 
 The gate decides without I/O. The runner holds the lock around each decision, then
-starts exchanges, answers callers and sends messages to peers.
+starts exchanges, responds to callers and sends messages to peers.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 if TYPE_CHECKING:
-    from siskinshift.agent.hand_over import RequestHandover
+    from siskinshift.agent.handover import RequestHandover
     from siskinshift.agent.http_requests import HttpRequest
     from siskinshift.agent.upstream_connections import UpstreamConnections
     from siskinshift.core.clocks import Clock
@@ -375,7 +375,7 @@
 
     def _with_outcome_report(self, http_request: HttpRequest) -> HttpRequest:
         def report(outcome: OutcomeKind) -> None:
-            self._telemetry.request_ended(http_request.request, outcome)
+            self._telemetry.record_request(http_request.request, outcome)
 
         return attrs.evolve(
             http_request, writer=ObservedResponse(http_request.writer, report)
@@ -389,7 +389,9 @@
             since: Clock reading when it was offered, seconds.
         """
         seconds = self._clock() - since
-        self._telemetry.slot_used(http_request.request.service_id, seconds=seconds)
+        self._telemetry.record_slot_time(
+            http_request.request.service_id, seconds=seconds
+        )
 
     def _run(self, request_id: int, exchange: UpstreamExchange) -> None:
         end = None
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -13,7 +13,7 @@
 from attrs import define
 
 from siskinshift.control.codec import encode_message
-from siskinshift.core.flows import flow_hash
+from siskinshift.core.flows import hash_flow
 from siskinshift.core.packets import Envelope
 from siskinshift.core.packets import Packet
 from siskinshift.core.views import make_view
@@ -158,7 +158,7 @@
     @property
     def digest(self) -> int:
         """Hash of the flow."""
-        return flow_hash(caller=self.caller, service_address=self.service.addresses[0])
+        return hash_flow(caller=self.caller, service_address=self.service.addresses[0])
 
 
 class FlowNetwork:
@@ -401,7 +401,9 @@
         assert owner.router is not None
         flow.ended_at = self.now
         flow.owner = None
-        self._apply_actions(owner, owner.router.flow_ended(flow.digest, now=self.now))
+        self._apply_actions(
+            owner, owner.router.on_flow_ended(flow.digest, now=self.now)
+        )
 
     def deliver(self, index: int, *, copy: bool = False) -> None:
         """Delivers a message.
@@ -584,7 +586,7 @@
             router = self.router_of(member_id)
             self._apply_actions(
                 self.nodes_by_id[member_id],
-                router.flow_ended(flow.digest, now=self.now),
+                router.on_flow_ended(flow.digest, now=self.now),
             )
 
     def _start_agent(self, member_id: str, upstream_class: str, weight: int) -> None:
@@ -753,7 +755,7 @@
         if flow.ended_at is not None:
             # A late duplicate created the flow again. It becomes idle and ends.
             assert node.router is not None
-            node.router.flow_ended(flow.digest, now=self.now)
+            node.router.on_flow_ended(flow.digest, now=self.now)
             return
         owner = (node.node_id, member.incarnation)
         moved = self._live_owner(flow) is not None and flow.owner != owner
--- a/src/siskinshift/flows/bucket_claims.py
+++ b/src/siskinshift/flows/bucket_claims.py
@@ -12,9 +12,9 @@
 from siskinshift.flows.flow_lists import valid_buckets
 from siskinshift.flows.notes_writer import retry_delay
 from siskinshift.flows.service_flows import ALL_BUCKETS
-from siskinshift.flows.service_flows import GrantedFlow
 from siskinshift.flows.service_flows import PeerClaim
 from siskinshift.flows.service_flows import PendingList
+from siskinshift.flows.service_flows import PermittedFlow
 from siskinshift.flows.service_flows import ReleasedBucket
 from siskinshift.messages.flows import FlowNotes
 from siskinshift.routing.buckets import build_bucket_table
@@ -33,15 +33,15 @@
     from siskinshift.settings.generated import FlowsSettings
 
 
-# How many timeouts to wait for a peer that replies but does not confirm: its view is
-# stale, and it may still create flows.
+# Number of completion timeouts to wait for a peer that replies but does not confirm:
+# its view is stale, and it may still create flows.
 DISAGREEMENT_TIMEOUTS = 6
 # Delay after a scan that found nothing to request; below the first retry delay of a
 # claim.
 REQUEST_IDLE_SECONDS = 0.25
 # How long permissions in relinquished buckets are included in lists: they cover
 # packets still in flight to the peer that may create the flow.
-GRANT_RETENTION_SECONDS = 30.0
+PERMISSION_RETENTION_SECONDS = 30.0
 
 
 class BucketClaims:
@@ -116,7 +116,7 @@
         *,
         now: float,
     ) -> None:
-        """Starts and leaves claims as primaries change.
+        """Starts claims of gained buckets and marks claims of lost buckets as left.
 
         Args:
             state: The service's flows.
@@ -282,8 +282,9 @@
         if notes.receiver_incarnation != self._peers.incarnation:
             return []
         state.attempts_by_peer[notes.sender_id] = 0
-        # Otherwise two agents that join at once, each unknown to the other, would both
-        # complete their claims.
+        # Claimants that the sender has confirmed but that this agent's view lacks must
+        # confirm too. Otherwise two agents that join at once, each unknown to the
+        # other, would both complete their claims.
         unknown_ids = {i for i in notes.given_to if not self._peers.has_member(i)}
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
@@ -325,17 +326,17 @@
             state: The service.
             now: Clock reading, seconds.
         """
-        for bucket, granted_by_flow in tuple(state.granted_by_bucket.items()):
-            for digest, granted in tuple(granted_by_flow.items()):
-                if granted.expires_at <= now:
-                    del granted_by_flow[digest]
-            if not granted_by_flow:
-                del state.granted_by_bucket[bucket]
+        for bucket, permitted_by_flow in tuple(state.permitted_by_bucket.items()):
+            for flow_hash, permitted in tuple(permitted_by_flow.items()):
+                if permitted.expires_at <= now:
+                    del permitted_by_flow[flow_hash]
+            if not permitted_by_flow:
+                del state.permitted_by_bucket[bucket]
         for bucket, confirmed_at_by_peer in tuple(
             state.confirmations_by_bucket.items()
         ):
             for peer_id, confirmed_at in tuple(confirmed_at_by_peer.items()):
-                if now - confirmed_at >= GRANT_RETENTION_SECONDS:
+                if now - confirmed_at >= PERMISSION_RETENTION_SECONDS:
                     del confirmed_at_by_peer[peer_id]
             if not confirmed_at_by_peer:
                 del state.confirmations_by_bucket[bucket]
@@ -449,13 +450,15 @@
         if claim is None:
             return
         state.incomplete_buckets.discard(bucket)
-        expires_at = now + GRANT_RETENTION_SECONDS
-        granted = {
-            digest: GrantedFlow(claim.owners_by_flow[digest], version, expires_at)
-            for digest, version in claim.versions_by_flow.items()
+        expires_at = now + PERMISSION_RETENTION_SECONDS
+        permitted = {
+            flow_hash: PermittedFlow(
+                claim.owners_by_flow[flow_hash], version, expires_at
+            )
+            for flow_hash, version in claim.versions_by_flow.items()
         }
-        if granted:
-            state.granted_by_bucket.setdefault(bucket, {}).update(granted)
+        if permitted:
+            state.permitted_by_bucket.setdefault(bucket, {}).update(permitted)
         state.released.append(ReleasedBucket(bucket))
 
 
--- a/src/siskinshift/flows/flow_lists.py
+++ b/src/siskinshift/flows/flow_lists.py
@@ -67,16 +67,16 @@
         else:
             state.pending_lists_by_bucket.pop(bucket, None)
 
-    def flow_ended(self, state: ServiceFlows, digest: int, *, now: float) -> None:
+    def on_flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
         """Removes an owned flow and schedules a list without it.
 
         Args:
             state: Service of the flow.
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             now: Clock reading, seconds.
         """
-        state.remove_flow(digest)
-        bucket = bucket_of(digest)
+        state.remove_flow(flow_hash)
+        bucket = bucket_of(flow_hash)
         if state.primary_id_of(bucket) in ("", self._peers.member_id):
             return
         # The list is sent again without the flow. Flows that end within the delay share
@@ -146,11 +146,11 @@
                 sender_version=version,
                 listed_buckets=tuple(batch),
                 flows=tuple(
-                    digest
+                    flow_hash
                     for bucket in batch
-                    for digest in state.flows_by_bucket.get(bucket, ())
+                    for flow_hash in state.flows_by_bucket.get(bucket, ())
                 ),
-                notes=tuple(self._grants_of(state, batch)),
+                notes=tuple(self._permissions_of(state, batch)),
                 given_to=self._confirmed_peers(state, batch, peer_id),
                 receiver_incarnation=peer_claim.incarnation if peer_claim else 0,
                 confirmed_version=peer_claim.version if peer_claim else 0,
@@ -184,9 +184,9 @@
             self._refuse(state, buckets, now=now)
             return [], []
         flows_by_bucket: dict[int, set[int]] = {}
-        for digest in notes.flows:
-            if not state.owns(digest):
-                flows_by_bucket.setdefault(bucket_of(digest), set()).add(digest)
+        for flow_hash in notes.flows:
+            if not state.owns(flow_hash):
+                flows_by_bucket.setdefault(bucket_of(flow_hash), set()).add(flow_hash)
         for bucket in buckets:
             claim = state.claims_by_bucket.get(bucket)
             if claim is None:
@@ -195,7 +195,7 @@
             claim.replace_list(notes.sender_id, flows, notes.sender_version)
             if flows:
                 state.released.append(ReleasedBucket(bucket, frozenset(flows)))
-        self._apply_grants(state, notes)
+        self._apply_permissions(state, notes)
         return self._accept(state, notes, buckets), buckets
 
     def on_acceptance(self, state: ServiceFlows, notes: FlowNotes) -> None:
@@ -238,7 +238,7 @@
         )
         return self._writer.send(notes.sender_id, message)
 
-    def _apply_grants(self, state: ServiceFlows, notes: FlowNotes) -> None:
+    def _apply_permissions(self, state: ServiceFlows, notes: FlowNotes) -> None:
         for note in notes.notes:
             claim = state.claims_by_bucket.get(bucket_of(note.flow_hash))
             if claim is None or state.owns(note.flow_hash):
@@ -248,18 +248,20 @@
             if self._peers.incarnation_of(note.owner_id) != note.owner_incarnation:
                 continue
             if note.flow_hash not in claim.owners_by_flow:
-                claim.note(note.flow_hash, note.owner_id, note.owner_version)
+                claim.add_note(note.flow_hash, note.owner_id, note.owner_version)
 
-    def _grants_of(
+    def _permissions_of(
         self, state: ServiceFlows, buckets: Iterable[int]
     ) -> Iterable[FlowNote]:
         for bucket in buckets:
-            for digest, granted in state.granted_by_bucket.get(bucket, {}).items():
+            for flow_hash, permitted in state.permitted_by_bucket.get(
+                bucket, {}
+            ).items():
                 yield FlowNote(
-                    flow_hash=digest,
-                    owner_id=granted.owner_id,
-                    owner_incarnation=self._peers.incarnation_of(granted.owner_id),
-                    owner_version=granted.version,
+                    flow_hash=flow_hash,
+                    owner_id=permitted.owner_id,
+                    owner_incarnation=self._peers.incarnation_of(permitted.owner_id),
+                    owner_version=permitted.version,
                 )
 
     def _confirmed_peers(
@@ -288,7 +290,7 @@
     count = 0
     for bucket in buckets:
         size = len(state.flows_by_bucket.get(bucket, ()))
-        size += len(state.granted_by_bucket.get(bucket, ()))
+        size += len(state.permitted_by_bucket.get(bucket, ()))
         if batch and count + size > MAX_FLOWS_PER_MESSAGE:
             yield batch
             batch, count = [], 0
--- a/src/siskinshift/flows/hand_over.py
+++ b/src/siskinshift/flows/handover.py
@@ -3,8 +3,8 @@
 An agent that its own view names primary of a bucket claims the bucket from each peer
 of the service. A peer whose view agrees replies with the list of its flows in the
 bucket and gives up its own claim. Once all peers have replied, the claim is complete:
-the agent has the owner of each flow of the bucket, and it alone may create flows. The
-request to the previous primary is sent last, so that at any time some agent may
+the agent has a note for each flow of the bucket, and it alone may create flows there.
+The request to the previous primary is sent last, so that at any time some agent may
 create flows.
 
 A note is the record at a primary of a flow's owner. It comes from the owner's list, or
@@ -101,9 +101,9 @@
             return []
         for state in self.services_by_id.values():
             for member_id in change.lost:
-                state.forget_owner(member_id)
+                state.remove_notes_of(member_id)
             for member_id in change.restarted:
-                state.forget_listed(member_id)
+                state.remove_listed_notes_of(member_id)
         self._update_served_services(change.own)
         actions: list[SendNotes] = []
         for state in self.services_by_id.values():
@@ -113,7 +113,7 @@
             self._claims.apply_peer_changes(state, change.appeared, now=now)
             if change.was_suspected:
                 self._claims.restart_all(state, now=now)
-            table = self._chooser.get_object(service)
+            table = self._chooser.bucket_table_of(service)
             self._claims.apply_table(state, service, table, now=now)
             actions += self._claims.confirm_peer_claims(state, now=now)
             self._claims.complete_confirmed(state, now=now)
@@ -139,7 +139,7 @@
             return []
         if is_new:
             for served in self.services_by_id.values():
-                served.forget_listed(notes.sender_id)
+                served.remove_listed_notes_of(notes.sender_id)
         actions: list[SendNotes] = []
         if notes.claimed_buckets:
             actions += self._claims.on_claim(state, notes, now=now)
@@ -156,15 +156,15 @@
             actions += self._audit.on_audit(state, notes, now=now)
         return actions
 
-    def flow_ended(self, state: ServiceFlows, digest: int, *, now: float) -> None:
+    def on_flow_ended(self, state: ServiceFlows, flow_hash: int, *, now: float) -> None:
         """Removes an owned flow and schedules the update of its primary.
 
         Args:
             state: Service of the flow.
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
             now: Clock reading, seconds.
         """
-        self._lists.flow_ended(state, digest, now=now)
+        self._lists.on_flow_ended(state, flow_hash, now=now)
 
     def on_pause(self, *, now: float) -> None:
         """Restarts all claims after a pause, in which peers may have taken them over.
@@ -234,7 +234,7 @@
                 continue
             del self.services_by_id[service_id]
             if state.flows_by_bucket:
-                # Its flows continue; claims and notes are void without a service.
+                # Owned flows are kept; claims and notes are void without a service.
                 self.services_by_id[service_id] = ServiceFlows(
                     service_id, flows_by_bucket=state.flows_by_bucket
                 )
--- a/src/siskinshift/flows/service_flows.py
+++ b/src/siskinshift/flows/service_flows.py
@@ -28,7 +28,7 @@
 
 
 @frozen
-class GrantedFlow:
+class PermittedFlow:
     """A flow that a peer was permitted to create, kept after the bucket has moved.
 
     Attributes:
@@ -83,12 +83,12 @@
         claims_by_bucket: Buckets that the agent is or was primary of.
         incomplete_buckets: Buckets with an incomplete claim.
         peer_claims_by_bucket: Claims of peers that the view does not agree with yet.
-        granted_by_bucket: Recent permissions in relinquished buckets, by flow.
+        permitted_by_bucket: Recent permissions in relinquished buckets, by flow.
         confirmations_by_bucket: Times of recent confirmations, by claiming peer.
         pending_lists_by_bucket: Lists that primaries have not accepted yet.
         request_at_by_peer: Clock readings of the next requests, seconds.
         attempts_by_peer: Number of requests to a peer since its last confirmation.
-        requests_idle_until: No requests are sent before, seconds.
+        requests_idle_until: Clock reading before which no requests are sent, seconds.
         released: Buckets whose held packets can be routed.
         last_audited_bucket: Last bucket that the periodic audit selected.
     """
@@ -99,7 +99,7 @@
     claims_by_bucket: dict[int, Claim] = Factory(dict)
     incomplete_buckets: set[int] = Factory(set)
     peer_claims_by_bucket: dict[int, PeerClaim] = Factory(dict)
-    granted_by_bucket: dict[int, dict[int, GrantedFlow]] = Factory(dict)
+    permitted_by_bucket: dict[int, dict[int, PermittedFlow]] = Factory(dict)
     confirmations_by_bucket: dict[int, dict[str, float]] = Factory(dict)
     pending_lists_by_bucket: dict[int, PendingList] = Factory(dict)
     request_at_by_peer: dict[str, float] = Factory(dict)
@@ -108,35 +108,35 @@
     released: list[ReleasedBucket] = Factory(list)
     last_audited_bucket: int = -1
 
-    def owns(self, digest: int) -> bool:
+    def owns(self, flow_hash: int) -> bool:
         """Returns whether the agent owns a flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
 
         Returns:
             Whether the flow is owned.
         """
-        flows = self.flows_by_bucket.get(bucket_of(digest))
-        return flows is not None and digest in flows
+        flows = self.flows_by_bucket.get(bucket_of(flow_hash))
+        return flows is not None and flow_hash in flows
 
-    def add_flow(self, digest: int) -> None:
+    def add_flow(self, flow_hash: int) -> None:
         """Adds an owned flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
         """
-        self.flows_by_bucket.setdefault(bucket_of(digest), set()).add(digest)
+        self.flows_by_bucket.setdefault(bucket_of(flow_hash), set()).add(flow_hash)
 
-    def remove_flow(self, digest: int) -> None:
+    def remove_flow(self, flow_hash: int) -> None:
         """Removes an owned flow.
 
         Args:
-            digest: Hash of the flow.
+            flow_hash: Hash of the flow.
         """
-        bucket = bucket_of(digest)
+        bucket = bucket_of(flow_hash)
         flows = self.flows_by_bucket[bucket]
-        flows.discard(digest)
+        flows.discard(flow_hash)
         if not flows:
             del self.flows_by_bucket[bucket]
 
@@ -163,23 +163,23 @@
         self.requests_idle_until = now
         self.attempts_by_peer[peer_id] = 0
 
-    def forget_owner(self, owner_id: str) -> None:
-        """Drops all notes about the flows of an owner that is gone.
+    def remove_notes_of(self, owner_id: str) -> None:
+        """Removes all notes about the flows of an owner that is gone.
 
         Args:
             owner_id: The owner.
         """
         for claim in self.claims_by_bucket.values():
-            claim.forget_owner(owner_id)
+            claim.remove_notes_of(owner_id)
 
-    def forget_listed(self, owner_id: str) -> None:
-        """Drops the notes from the lists of an owner that has restarted.
+    def remove_listed_notes_of(self, owner_id: str) -> None:
+        """Removes the notes from the lists of an owner that has restarted.
 
         Args:
             owner_id: The owner.
         """
         for claim in self.claims_by_bucket.values():
-            claim.forget_listed(owner_id)
+            claim.remove_listed_notes_of(owner_id)
 
     def note_count(self) -> int:
         """Counts the stored notes.
@@ -206,7 +206,7 @@
         Returns:
             Whether the agent owns flows there or recently permitted some to peers.
         """
-        return bucket in self.flows_by_bucket or bucket in self.granted_by_bucket
+        return bucket in self.flows_by_bucket or bucket in self.permitted_by_bucket
 
 
 ALL_BUCKETS = range(BUCKET_COUNT)
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -10,8 +10,8 @@
 - A request that may not be repeated is started once (`StartRequest` or `RunAtPeer`).
   After that each end without a response is a `FailRequest`.
 
-An abandoned request gets its final response in the action list of the event or tick
-that abandons it.
+A request that ends without a response from the upstream gets its final response in the
+actions of the event or tick that ends it.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         member_id: str,
         incarnation: int,
         slots: int,
-        ramp_time: float,
+        ramp_duration: float,
         settings: LoadSettings,
         random: Random,
         now: float,
@@ -79,7 +79,7 @@
             member_id: The agent's member id.
             incarnation: The agent's incarnation; part of reservation ids.
             slots: Configured slots of the upstream.
-            ramp_time: Seconds until the upstream gets full load.
+            ramp_duration: Seconds until the upstream gets full load.
             settings: Thresholds.
             random: Source of all random choices.
             now: Clock reading, seconds.
@@ -87,7 +87,7 @@
         self._member_id = member_id
         self._state = GateState(
             slots=slots,
-            ramp_time=ramp_time,
+            ramp_duration=ramp_duration,
             settings=settings,
             random=random,
             now=now,
@@ -191,7 +191,7 @@
             request_id: The request; an unknown id (late or duplicate) is ignored.
             succeeded: Whether the upstream succeeded.
             now: Clock reading, seconds.
-            result: How it ended; without it the driver responds to the caller.
+            result: How it ended; without it the request runner responds to the caller.
 
         Returns:
             The actions to carry out.
@@ -206,7 +206,9 @@
             self._state.retry_budget.record_success()
         gate_responds = result is not None
         return [
-            *self._retry_policy.attempt_ended(work, run_result, gate_responds, now=now),
+            *self._retry_policy.handle_attempt_end(
+                work, run_result, gate_responds, now=now
+            ),
             *self._dispatcher.dispatch(now=now),
         ]
 
@@ -226,7 +228,7 @@
         if work.state in (WorkState.RUNNING, WorkState.AT_PEER):
             work.is_cancelled = True
             return [CancelAtUpstream(request_id)]
-        return self._state.abandon(work, ErrorKind.CANCELLED)
+        return self._state.end_without_response(work, ErrorKind.CANCELLED)
 
     def drain(self, *, now: float) -> list[GateAction]:
         """Stops admission; own queued requests still run, those of peers are refused.
@@ -435,7 +437,7 @@
         if work.state is WorkState.BACKING_OFF and work.queued_at <= now:
             return self._retry_policy.requeue(work)
         if work.state is WorkState.RESERVED:
-            return self._peer_requests.time_out(work, now=now)
+            return self._peer_requests.release_if_timed_out(work, now=now)
         return []
 
     # Usage sums.
--- a/src/siskinshift/membership/assignment.py
+++ b/src/siskinshift/membership/assignment.py
@@ -1,11 +1,11 @@
 """Assigns watchers to members by rendezvous hashing over failure domains.
 
-A member is watched from its own region while that has balancers, so that a partition
-between regions makes no member unresponsive. The region's failure domains are ranked
-by rendezvous hashing and the watchers are distributed over them in turn. Within a
-domain the balancers are ranked by rendezvous hashing again. All processes that have
-the same balancers in their tables get the same watchers, and a change of one balancer
-moves only the members that it watched or now watches.
+A member is watched from its own region while that region has balancers, so that a
+partition between regions makes no member unresponsive. The region's failure domains are
+ranked by rendezvous hashing, and the watchers are distributed over them in turn. Within
+a domain the balancers are ranked by rendezvous hashing again. All processes that have
+the same balancers in their tables compute the same watchers, and a change of one
+balancer moves only the members that it watched or now watches.
 """
 
 from __future__ import annotations
@@ -140,12 +140,12 @@
             for seed, balancer in zip(domain.seeds, domain.balancers, strict=True)
             if balancer.member_id != own_id
         ]
-        best = []
+        ranked = []
         for _ in range(min(WATCHER_COUNT, len(scored))):
-            top = max(scored, key=lambda pair: pair[0])
-            scored.remove(top)
-            best.append(top[1])
-        return best
+            highest = max(scored, key=lambda pair: pair[0])
+            scored.remove(highest)
+            ranked.append(highest[1])
+        return ranked
 
     def _add(self, balancer: Member) -> None:
         name = domain_of(balancer)
--- a/src/siskinshift/membership/gossip.py
+++ b/src/siskinshift/membership/gossip.py
@@ -16,8 +16,8 @@
     from collections.abc import Iterable
 
 
-# An update waits this long for others to share its batch. It is also all that a hop
-# adds to the latency while few updates are pending.
+# An update waits this long for further updates in its batch. While few updates are
+# pending, a hop adds no other latency.
 BATCH_DELAY_SECONDS = 0.01
 # Per link: a change and its retries are sent at once, a flood is paced.
 BATCH_BURST = 4.0
@@ -55,8 +55,8 @@
     refilled_at: float = 0.0
 
     def refill(self, now: float) -> None:
-        gained = max(0.0, now - self.refilled_at) * self.rate
-        self.tokens = min(self.burst, self.tokens + gained)
+        refilled = max(0.0, now - self.refilled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + refilled)
         self.refilled_at = now
 
 
@@ -229,7 +229,7 @@
         return link
 
     def _remove_old_updates(self, now: float) -> None:
-        # Removes from the oldest on, without a copy: there are thousands after a start.
+        # Removes the oldest first, without a copy: there are thousands after a start.
         recent = self._updated_at_by_key
         while recent:
             oldest = next(iter(recent))
@@ -249,8 +249,10 @@
         # Services are few and are sent whatever tokens are left, since a change of
         # one must take effect soon.
         keys = [RecordKey(True, key) for key in list(link.services)[:MAX_BATCH_RECORDS]]
-        room = min(MAX_BATCH_RECORDS - len(keys), max(0, int(self._records.tokens)))
-        keys += [RecordKey(False, key) for key in list(link.members)[:room]]
+        member_count = min(
+            MAX_BATCH_RECORDS - len(keys), max(0, int(self._records.tokens))
+        )
+        keys += [RecordKey(False, key) for key in list(link.members)[:member_count]]
         for record_key in keys:
             del _pending_keys(link, record_key)[record_key.key]
         link.batches.tokens -= 1.0
--- a/src/siskinshift/observability/telemetry.py
+++ b/src/siskinshift/observability/telemetry.py
@@ -47,7 +47,7 @@
         """Exports a last time and stops the exporter."""
         self._metrics.stop()
 
-    def request_ended(self, request: Request, outcome: OutcomeKind) -> None:
+    def record_request(self, request: Request, outcome: OutcomeKind) -> None:
         """Records the outcome of a request as its caller received it.
 
         Args:
@@ -59,7 +59,7 @@
         seconds = now - request.arrived_at
         if outcome is OutcomeKind.ANSWERED:
             self.counters.add("requests.answered")
-        self._metrics.request_ended(request.service_id, request.group_id, seconds)
+        self._metrics.record_request(request.service_id, request.group_id, seconds)
         self.objectives.record_request(
             request.service_id,
             request.group_id,
@@ -68,7 +68,7 @@
             now=now,
         )
 
-    def slot_used(self, service_id: str, *, seconds: float) -> None:
+    def record_slot_time(self, service_id: str, *, seconds: float) -> None:
         """Records how long a request held a slot of the upstream.
 
         Args:
@@ -81,7 +81,7 @@
             service_id, seconds=seconds / self._slots, now=self._clock()
         )
 
-    def flow_ended(self, service_id: str, *, broken: bool) -> None:
+    def record_flow(self, service_id: str, *, broken: bool) -> None:
         """Records the end of a flow.
 
         Args:
--- a/src/siskinshift/routing/chooser.py
+++ b/src/siskinshift/routing/chooser.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from siskinshift.core.errors import ErrorKind
-from siskinshift.core.flows import flow_hash
+from siskinshift.core.flows import hash_flow
 from siskinshift.core.views import View
 from siskinshift.messages.core import Member
 from siskinshift.routing.buckets import BucketTable
@@ -54,7 +54,7 @@
     tables_by_service: dict[str, BucketTable]
     stale_tables_by_service: dict[str, BucketTable]
 
-    def get_object(self, service: Service) -> BucketTable:
+    def bucket_table_of(self, service: Service) -> BucketTable:
         table = self.tables_by_service.get(service.service_id)
         if table is None:
             table = build_bucket_table(
@@ -121,15 +121,15 @@
         service = tables.view.services_by_address.get(packet.service_address)
         if service is None:
             return DropPacket(ErrorKind.UNKNOWN_ADDRESS)
-        hash_value = flow_hash(
+        flow_hash = hash_flow(
             caller=packet.caller, service_address=packet.service_address
         )
-        agent = tables.get_object(service).primary_of(bucket_of(hash_value))
+        agent = tables.bucket_table_of(service).primary_of(bucket_of(flow_hash))
         if agent is None:
             return DropPacket(ErrorKind.NO_MEMBER)
         return SendTo(agent)
 
-    def get_object(self, service: Service) -> BucketTable:
+    def bucket_table_of(self, service: Service) -> BucketTable:
         """Returns the bucket table of a service, built on first use.
 
         Args:
@@ -139,7 +139,7 @@
             Its table.
         """
         assert self._tables is not None
-        return self._tables.get_object(service)
+        return self._tables.bucket_table_of(service)
 
 
 def _is_unchanged(service: Service, old_view: View, view: View) -> bool:
