--- a/src/siskinshift/api/service.py
+++ b/src/siskinshift/api/service.py
@@ -162,9 +162,9 @@
 
     @_authorized(Permission.READ)
     def ListServices(self, request: Any, _context: Any) -> Any:
-        """Lists the services in the table.
+        """Lists the services in the service table.
 
-        The view that contains them is published shortly after.
+        A change appears here shortly before the view that contains it is published.
         """
         services = self._membership.services.services_by_id
         selected = [
--- a/src/siskinshift/console/exceptions.py
+++ b/src/siskinshift/console/exceptions.py
@@ -7,12 +7,12 @@
 
 
 class ArgumentError(SiskinshiftError):
-    """An argument is not allowed."""
+    """Raised when an argument is not allowed."""
 
     kind = ErrorKind.INVALID_ARGUMENT
 
 
 class ChangeNotFoundError(SiskinshiftError):
-    """The change is not among the latest ones that took effect."""
+    """Raised when a change is not among the latest ones that took effect."""
 
     kind = ErrorKind.NOT_FOUND
--- a/src/siskinshift/console/operators.py
+++ b/src/siskinshift/console/operators.py
@@ -40,7 +40,7 @@
 
     Raises:
         SettingsError: The file can't be read, or a value is not allowed.
-        ArgumentError: The file with the authority's certificates can't be read.
+        ArgumentError: The file with the CA certificates can't be read.
     """
     # Imported here because importing gRPC is slow and other commands do not need it.
     from siskinshift.api.client import ClientSettings
@@ -54,7 +54,7 @@
         ClientSettings(
             endpoint=section.endpoint,
             token=section.token,
-            ca_certificates=_read_authority(section.authority_file),
+            ca_certificates=_read_ca_certificates(section.authority_file),
             server_name=section.server_name,
             timeout=section.timeout,
             reach_timeout=section.reach_timeout,
@@ -66,11 +66,13 @@
         client.close()
 
 
-def _read_authority(path: str) -> bytes:
+def _read_ca_certificates(path: str) -> bytes:
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise ArgumentError(f"authority_file {path}: {error.strerror}") from error
+        raise ArgumentError(
+            f"authority_file {path}: can't be read: {error.strerror}"
+        ) from error
 
 
 def format_json(value: object) -> str:
--- a/src/siskinshift/observability/event_log.py
+++ b/src/siskinshift/observability/event_log.py
@@ -40,7 +40,8 @@
 
     Attributes:
         dropped: Number of lines dropped since the start.
-        metrics: Counters of all decisions, including those that are not logged.
+        metrics: Metrics of the process; they count all decisions, including those that
+            are not logged.
     """
 
     def __init__(
--- a/src/siskinshift/report/exceptions.py
+++ b/src/siskinshift/report/exceptions.py
@@ -7,12 +7,12 @@
 
 
 class MetricsUnreachableError(SiskinshiftError):
-    """No process served its metrics."""
+    """Raised when no process served its metrics."""
 
     kind = ErrorKind.PEER_UNREACHABLE
 
 
 class ReportArgumentError(SiskinshiftError):
-    """An argument of the report is not allowed."""
+    """Raised when an argument of the report is not allowed."""
 
     kind = ErrorKind.INVALID_ARGUMENT
