--- a/src/siskinshift/standins/connection_ends.py
+++ b/src/siskinshift/standins/connection_ends.py
@@ -245,11 +245,11 @@
 
 
 class FlowReset(Exception):
-    """The flow was reset."""
+    """Raised when the flow was reset."""
 
 
 class FlowTimeout(Exception):
-    """No reply arrived within the timeout."""
+    """Raised when no reply arrived within the timeout."""
 
 
 class ConnectionCaller:
--- a/src/siskinshift/standins/kv.py
+++ b/src/siskinshift/standins/kv.py
@@ -57,7 +57,7 @@
 
     def _serve_watch(self, create: dict[str, Any]) -> None:
         stand_in = self.server.stand_in
-        rejection_status = stand_in.open_watch()
+        rejection_status = stand_in.admit_watch()
         if rejection_status is not None:
             self._send(rejection_status, b"{}")
             return
@@ -180,14 +180,14 @@
             finally:
                 self._changed.notify_all()
 
-    def open_watch(self) -> HTTPStatus | None:
+    def admit_watch(self) -> HTTPStatus | None:
         """Counts a watch and checks whether it may be served.
 
         Returns:
             None, or the status to reject it with.
         """
         with self._changed:
-            return self._state.count(WATCH_PATH)
+            return self._state.admit_request(WATCH_PATH)
 
     def next_watch_result(self, create: dict[str, Any]) -> dict[str, Any] | None:
         """Waits for the next changes of a watch.
--- a/src/siskinshift/standins/kv_direct.py
+++ b/src/siskinshift/standins/kv_direct.py
@@ -59,7 +59,7 @@
         Raises:
             StoreUnavailableError: The watch was rejected.
         """
-        if self._state.count(path) is not None:
+        if self._state.admit_request(path) is not None:
             raise StoreUnavailableError("refused")
         create = orjson.loads(body)["create_request"]
         return OneShotStream(self._state, create)
