--- a/src/siskinshift/bench/configuration.py
+++ b/src/siskinshift/bench/configuration.py
@@ -1,7 +1,7 @@
 """Measures the calls to the key-value store by number of balancers.
 
-The production decision objects and readers run on an injected clock. Membership is a
-view that all of them receive a second after a change. The same run also measures the
+The production configuration readers run on an injected clock. Membership is a view
+that all of them receive a second after a change. The same run also measures the
 baseline in which every balancer reads and watches the store itself.
 """
 
@@ -41,7 +41,7 @@
 START_SECONDS = 60.0
 QUIET_SECONDS = 120.0
 OUTAGE_SECONDS = 120.0
-AFTER_SECONDS = 60.0
+RECOVERY_SECONDS = 60.0
 SEED = 11
 
 SETTINGS_TEXT = """
@@ -200,7 +200,7 @@
     fleet.state.faults.down = True
     outage_rates = fleet.run(OUTAGE_SECONDS)
     fleet.state.faults.down = False
-    after_rates = fleet.run(AFTER_SECONDS)
+    recovery_rates = fleet.run(RECOVERY_SECONDS)
     return CallFigures(
         way=strategy,
         balancers=size,
@@ -208,7 +208,7 @@
         start_peak=max(start_rates),
         quiet=round(sum(quiet_rates) / len(quiet_rates), 1),
         outage=round(sum(outage_rates) / len(outage_rates), 1),
-        back_peak=max(after_rates),
+        back_peak=max(recovery_rates),
         holders_back=fleet.slot_holder_count(),
     )
 
--- a/src/siskinshift/bench/connection_costs.py
+++ b/src/siskinshift/bench/connection_costs.py
@@ -90,7 +90,7 @@
             status = encode_status(Status(_make_agent(f"agent-{number}", host), Load()))
             agent_socket.sendto(status, (BALANCER, PEER_PORT))
         self._node.configure(_make_routes(), ReceivedConfiguration(b""))
-        self._time_turn()
+        self._time_iteration()
         self._port = 1024
         self._ports = [self._open() for _ in range(FLOW_COUNT)]
         self._random = Random(1)
@@ -118,7 +118,7 @@
         for _ in range(rounds):
             for _ in range(burst):
                 self._send(self._random.choice(self._ports), is_opening=False)
-            spent += self._time_turn()
+            spent += self._time_iteration()
         self._drain_agents()
         return spent / (rounds * burst) * 1e6
 
@@ -135,7 +135,7 @@
     def _time_open(self) -> float:
         self._port += 1
         self._send(self._port, is_opening=True)
-        spent = self._time_turn()
+        spent = self._time_iteration()
         for agent_socket in self._agent_sockets:
             try:
                 message = agent_socket.recv(MAX_MESSAGE_BYTES)
@@ -145,7 +145,7 @@
             flow = header[FLOW_OFFSET : FLOW_OFFSET + FLOW_SIZE]
             verdict = FlowVerdict(Verdict.ACCEPTED, flow, Load())
             agent_socket.sendto(encode_verdict(verdict), (BALANCER, PEER_PORT))
-        return spent + self._time_turn()
+        return spent + self._time_iteration()
 
     def _send(self, port: int, *, is_opening: bool) -> None:
         flow = (
@@ -164,7 +164,7 @@
         )
         self._caller_socket.sendto(packet, (BALANCER, CALLER_PACKET_PORT))
 
-    def _time_turn(self) -> float:
+    def _time_iteration(self) -> float:
         started_at = time.thread_time()
         self._node.loop.run_once()
         return time.thread_time() - started_at
--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -176,12 +176,13 @@
         resumes: Resume time, id and incarnation of each paused process.
         flows: All flows; the flow at index n has the caller port 1024 + n.
         draining_since_by_id: Start of the drain of each draining agent.
-        late_flows: Flows created more than 3 s after the start of a drain.
-        planned_breaks: Flows that moved away from a live owner.
-        unplanned_breaks: Flows whose owner ended.
-        misdelivered: Datagrams delivered to another service.
-        delivered: Datagrams delivered to upstreams.
-        created: Flows created, also repeatedly.
+        late_flows: A message for each flow created more than 3 s after the start of a
+            drain.
+        planned_breaks: A message for each flow that moved away from a live owner.
+        unplanned_breaks: Number of flows whose owner stopped or restarted.
+        misdelivered: Number of datagrams delivered to another service.
+        delivered: Number of datagrams delivered to upstreams.
+        created: Number of flow creations; a flow that is created again counts again.
         max_hop_count: Largest hop count of any datagram.
         notes_sent: Number of handover messages.
         notes_bytes_by_sender: Their size by sender, with `count_bytes`.
@@ -305,7 +306,7 @@
         )
 
     def leave(self, member_id: str) -> None:
-        """Stops a drained agent without flows.
+        """Stops a drained agent that has no flows left.
 
         Args:
             member_id: The agent.
@@ -350,7 +351,8 @@
             if node is None or member.incarnation != incarnation:
                 continue
             node.paused = False
-            # The process learns that it was declared gone and refutes it.
+            # The process receives the record that declares it gone and refutes it with
+            # a newer version.
             self._announce(attrs.evolve(member, version=member.version + 2))
 
     def open_flow(self, service_id: str) -> Flow:
--- a/src/siskinshift/bench/load.py
+++ b/src/siskinshift/bench/load.py
@@ -176,14 +176,14 @@
     """Runs the benchmark and writes its results."""
     directory = Path(sys.argv[1] if len(sys.argv) > 1 else DEFAULT_DIRECTORY)
     directory.mkdir(parents=True, exist_ok=True)
-    started = time.monotonic()
+    started_at = time.monotonic()
     figures = run_bench()
     goals = evaluate_goals(figures)
     print(format_table(figures))
     for goal in goals:
         verdict = "met" if goal.is_met else "MISSED"
         print(f"{verdict:7}{goal.service:12}{goal.name:42}{goal.measured:8.3f}")
-    print(f"{time.monotonic() - started:.0f} s")
+    print(f"{time.monotonic() - started_at:.0f} s")
     for size in SERVICES:
         own = [f for f in figures if f.service == size.name]
         (directory / f"load-{size.name}.svg").write_text(draw(own))
