--- a/src/siskinshift/bench/flow_network.py
+++ b/src/siskinshift/bench/flow_network.py
@@ -359,7 +359,7 @@
         """Sends the first datagram of a new caller.
 
         Args:
-            service_id: Service that it calls.
+            service_id: Service of the flow.
 
         Returns:
             The flow.
--- a/src/siskinshift/bench/load_model.py
+++ b/src/siskinshift/bench/load_model.py
@@ -82,7 +82,8 @@
         error: Reason of a request without a response.
         retry_after: Retry hint, seconds.
         ended_at: Simulated time of the final outcome.
-        answers: Final outcomes that the caller received; more than one is a fault.
+        outcome_count: Number of final outcomes that the caller received; more than one
+            is a fault.
     """
 
     request_id: int
@@ -97,7 +98,7 @@
     error: ErrorKind | None = None
     retry_after: float = 0.0
     ended_at: float = 0.0
-    answers: int = 0
+    outcome_count: int = 0
 
     @property
     def latency(self) -> float:
@@ -125,7 +126,7 @@
             error: Reason of a request without a response.
             retry_after: Retry hint, seconds.
         """
-        self.answers += 1
+        self.outcome_count += 1
         self.outcome = outcome
         self.error = error
         self.retry_after = retry_after
