--- a/src/siskinshift/agent/connection_commands.py
+++ b/src/siskinshift/agent/connection_commands.py
@@ -99,7 +99,7 @@
 
     Attributes:
         stream_id: Stream of the request.
-        error: Why there is no response of the upstream.
+        error: Why there is no response from the upstream.
         retry_after: Seconds after which the caller may retry, or None.
     """
 
@@ -144,5 +144,5 @@
         self._post(AbortResponse(self._stream_id))
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Writes the final response of a request without a response of the upstream."""
+        """Writes the final response of a request that got none from the upstream."""
         self._post(FailResponse(self._stream_id, error, retry_after))
--- a/src/siskinshift/agent/failure_responses.py
+++ b/src/siskinshift/agent/failure_responses.py
@@ -1,4 +1,4 @@
-"""Builds HTTP responses for requests that have no response of the upstream."""
+"""Builds HTTP responses for requests that have no response from the upstream."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """Builds the header fields of a final response from the table of error kinds.
 
     Args:
-        error: Why there is no response of the upstream.
+        error: Why there is no response from the upstream.
         retry_after: Seconds after which the caller may retry, or None.
 
     Returns:
--- a/src/siskinshift/agent/http_requests.py
+++ b/src/siskinshift/agent/http_requests.py
@@ -36,7 +36,7 @@
         """Ends an incomplete response so that the caller can detect it."""
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Writes the final response of a request without a response of the upstream."""
+        """Writes the final response of a request that got none from the upstream."""
 
 
 @frozen(eq=False)
--- a/src/siskinshift/agent/life_cycle.py
+++ b/src/siskinshift/agent/life_cycle.py
@@ -44,7 +44,11 @@
 
 
 class AgentLifeCycle:
-    """State machine of an agent: joining, ready with a ramp, shift, draining."""
+    """State machine of an agent: joining, ready, draining.
+
+    The weight rises in steps during the ramp after joining and falls in steps during
+    the shift before draining.
+    """
 
     def __init__(self, settings: FlowsSettings) -> None:
         """Initializes a joining agent.
--- a/src/siskinshift/agent/observed_response.py
+++ b/src/siskinshift/agent/observed_response.py
@@ -60,7 +60,7 @@
         self._writer.abort()
 
     def fail(self, error: ErrorKind, *, retry_after: float | None) -> None:
-        """Writes the final response of a request without a response of the upstream."""
+        """Writes the final response of a request that got none from the upstream."""
         if error not in UNCOUNTED_KINDS:
             self._report_once(ERROR_RESPONSES_BY_KIND[error].outcome)
         self._writer.fail(error, retry_after=retry_after)
--- a/src/siskinshift/core/packets.py
+++ b/src/siskinshift/core/packets.py
@@ -29,10 +29,11 @@
     Attributes:
         packet: The caller's datagram.
         hop_count: Number of hops between agents; 0 when sent by a balancer.
-        view_version: Version of the sender's view. A permission repeats the version of
-            the query, and the querier rejects it if its claim is newer. A disclaimer
-            carries the version of the replying agent's view up to which it is valid;
-            notes from that agent's later queries are kept.
+        view_version: Version of the sender's view. In a permission, the version that
+            the query carried; the querier rejects the permission if its claim of the
+            bucket is newer. In a disclaimer, the version of the replying agent's view
+            up to which the disclaimer is valid: a note that names this agent as owner
+            is kept if the agent sent its own query for the flow at a later version.
         querier_id: Agent that looks up the flow's owner; empty outside of a lookup.
             In a reply to the querier, the agent that replies.
         may_create: In a reply: no agent owns the flow and the querier may create it.
--- a/src/siskinshift/core/requests.py
+++ b/src/siskinshift/core/requests.py
@@ -35,8 +35,8 @@
         caller: IP address of the caller.
         key: Idempotency key; empty for none.
         repeatable: Whether the request is idempotent and may be retried.
-        arrived_at: Time of arrival, seconds.
-        deadline: Time after which the caller discards the response, seconds.
+        arrived_at: Clock reading at the arrival, seconds.
+        deadline: Clock reading after which the caller discards the response, seconds.
         pinned: Whether it must run at the agent that received it: a stream, or a
             request too large to hand over.
     """
--- a/src/siskinshift/kv/etcd.py
+++ b/src/siskinshift/kv/etcd.py
@@ -181,7 +181,7 @@
         try:
             succeeded = response.get("succeeded", False)
             if not isinstance(succeeded, bool):
-                raise TypeError("succeeded")
+                raise TypeError("succeeded is not a boolean")
             return TransactionResult(succeeded, _decode_revision(response))
         except MALFORMED_ERRORS as error:
             raise StoreOutcomeUnknownError("malformed response") from error
@@ -375,7 +375,7 @@
 def _decode_revision(response: dict[str, Any]) -> int:
     revision = int(response["header"]["revision"])
     if revision <= 0:
-        raise ValueError("revision")
+        raise ValueError("revision is not positive")
     return revision
 
 
--- a/src/siskinshift/runtime/__init__.py
+++ b/src/siskinshift/runtime/__init__.py
@@ -1,3 +1,3 @@
-"""Life cycle, clocks and threads of a process."""
+"""Life cycle, event loop, sockets and HTTP of a process."""
 
 from __future__ import annotations
--- a/src/siskinshift/runtime/event_loop.py
+++ b/src/siskinshift/runtime/event_loop.py
@@ -122,7 +122,8 @@
         """
         future: Future[ResultT] = Future()
         self._calls.append((future, function))
-        # If the pipe is full, wake-ups are pending and the loop will run the call.
+        # If the socket's buffer is full, wake-ups are pending and the loop will run the
+        # call.
         with contextlib.suppress(BlockingIOError):
             self._wake_sender.send(b"\0")
         return future
--- a/src/siskinshift/runtime/http_client.py
+++ b/src/siskinshift/runtime/http_client.py
@@ -17,10 +17,10 @@
 
 READ_BYTES = 262144
 MAX_RESPONSE_BYTES = 64 << 20
-# A response that trickles must not occupy a task forever: after this time, seconds, a
-# response slower than the rate, bytes per second, is aborted. The rate is a fortieth of
-# the slowest link, 5 Mbit/s. A faster response is not aborted, since a repeated request
-# would start from the beginning.
+# A response that takes longer than MAX_SLOW_SECONDS is aborted if it is slower than
+# MIN_BYTES_PER_SECOND, so that it does not occupy a task forever. That rate is a
+# fortieth of the slowest link, 5 Mbit/s. A faster response is not aborted, since a
+# repeated request would start from the beginning.
 MAX_SLOW_SECONDS = 10.0
 MIN_BYTES_PER_SECOND = 16_000.0
 # Timeout between two parts of a response; TCP retransmits a lost segment within this
