--- a/src/siskinshift/membership/assignment.py
+++ b/src/siskinshift/membership/assignment.py
@@ -38,18 +38,18 @@
 
     Attributes:
         name: Region and failure domain.
-        seed: Hash of the name.
+        hash_seed: Hash of the name, the seed of the domain's rank hashes.
         balancers: The balancers, ordered by id.
-        seeds: Hash of each balancer's id.
+        hash_seeds: Hash of each balancer's id, the seed of its rank hashes.
     """
 
     name: str
-    seed: int
+    hash_seed: int
     balancers: list[Member] = field(factory=list)
-    seeds: list[int] = field(factory=list)
+    hash_seeds: list[int] = field(factory=list)
 
 
-def _seed_of(text: str) -> int:
+def _hash_seed_of(text: str) -> int:
     return int(xxhash.xxh3_64_intdigest(text.encode()))
 
 
@@ -136,8 +136,10 @@
         """
         digest = xxhash.xxh3_64_intdigest
         scored = [
-            (digest(key, seed), balancer)
-            for seed, balancer in zip(domain.seeds, domain.balancers, strict=True)
+            (digest(key, hash_seed), balancer)
+            for hash_seed, balancer in zip(
+                domain.hash_seeds, domain.balancers, strict=True
+            )
             if balancer.member_id != own_id
         ]
         ranked = []
@@ -152,16 +154,20 @@
         domains = self._domains_by_region.setdefault(balancer.region, {})
         domain = domains.get(name)
         if domain is None:
-            domain = domains[name] = DomainBalancers(name=name, seed=_seed_of(name))
+            domain = domains[name] = DomainBalancers(
+                name=name, hash_seed=_hash_seed_of(name)
+            )
             self._all_domains[name] = domain
         domain.balancers.append(balancer)
-        domain.seeds.append(_seed_of(balancer.member_id))
+        domain.hash_seeds.append(_hash_seed_of(balancer.member_id))
 
     def _quotas(self, member: Member, key: bytes) -> list[tuple[DomainBalancers, int]]:
         domains = self._domains_by_region.get(member.region, self._all_domains)
         digest = xxhash.xxh3_64_intdigest
         ranked = sorted(
-            domains.values(), key=lambda domain: digest(key, domain.seed), reverse=True
+            domains.values(),
+            key=lambda domain: digest(key, domain.hash_seed),
+            reverse=True,
         )
         count = len(ranked)
         return [
--- a/src/siskinshift/membership/balancer.py
+++ b/src/siskinshift/membership/balancer.py
@@ -131,9 +131,9 @@
         return self._gossip.neighbours
 
     @property
-    def is_complete(self) -> bool:
-        """Whether a comparison of the whole state has ever completed."""
-        return self._comparison.is_complete
+    def has_completed_comparison(self) -> bool:
+        """Whether a full comparison has ever completed; always true without seeds."""
+        return self._comparison.has_completed
 
     def due(self, now: float) -> list[Call]:
         """Checks the watched members and returns the messages to send now.
--- a/src/siskinshift/membership/comparison.py
+++ b/src/siskinshift/membership/comparison.py
@@ -128,13 +128,13 @@
         self._seeds = tuple(seed for seed in settings.seeds if seed != own.control)
         self._next_at: float | None = None
         self._round: _Round | None = None
-        self._is_complete = not self._seeds
+        self._has_completed = not self._seeds
         self._partners: tuple[int, list[Endpoint], list[Endpoint]] | None = None
 
     @property
-    def is_complete(self) -> bool:
-        """Whether a comparison with any partner has ever completed."""
-        return self._is_complete
+    def has_completed(self) -> bool:
+        """Whether a comparison has ever completed; always true without seeds."""
+        return self._has_completed
 
     def due(self, now: float) -> list[Call]:
         """Opens a comparison when one is due.
@@ -222,7 +222,7 @@
         assert self._round is not None
         if not self._round.buckets:
             self._round = None
-            self._is_complete = True
+            self._has_completed = True
             return []
         buckets = self._round.buckets[:BUCKETS_PER_MESSAGE]
         del self._round.buckets[:BUCKETS_PER_MESSAGE]
@@ -260,7 +260,7 @@
     def _next_interval(self) -> float:
         # Without a completed comparison the next one is due soon.
         interval = self._settings.digest_interval
-        if not self._is_complete:
+        if not self._has_completed:
             interval = min(interval, RETRY_SECONDS)
         return interval * self._random.uniform(0.5, 1.5)
 
