--- a/src/siskinshift/messages/core.py
+++ b/src/siskinshift/messages/core.py
@@ -108,7 +108,7 @@
         member_id: Name, unique in the deployment.
         role: Balancer or agent.
         incarnation: Start time of the process in unix milliseconds; higher after a restart.
-        version: Incremented by the member with each change within an incarnation.
+        version: Version of the state within an incarnation; higher after each change.
         state: Last known state.
         region: Region from settings.
         failure_domain: Failure domain from settings.
--- a/src/siskinshift/messages/flows.py
+++ b/src/siskinshift/messages/flows.py
@@ -30,7 +30,7 @@
         service_id: Service of the flows.
         sender_id: Member id of the sender.
         sender_incarnation: Incarnation of the sender.
-        sender_version: Version of the sender's view; a list includes all requests of the sender up to it.
+        sender_version: Version of the sender's view; a list covers all flows whose creation the sender requested up to that version.
         sequence: Sequence number of the sender; an older list never replaces a newer one.
         claimed_buckets: Claim: buckets for which the sender is primary in its view.
         claim_version: Claim: version of the sender's view at the start of the claim.
--- a/src/siskinshift/messages/membership.py
+++ b/src/siskinshift/messages/membership.py
@@ -68,7 +68,7 @@
 
 @frozen
 class Ping:
-    """Probes an unresponsive member, or a process that replaced it.
+    """Probes an unresponsive member; a process at its endpoint replies with its own heartbeat.
 
     Attributes:
         member_id: Member id of the probed member.
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -143,7 +143,10 @@
 def _settings_page(path: Path) -> str:
     sections = tomllib.loads(path.read_text())["section"]
     lines = ["# Settings", "", "Generated from schema/settings.toml; do not edit.", ""]
-    lines += ["`siskinshift check FILE` reads a file and names each fault.", ""]
+    lines += [
+        "`siskinshift check FILE` checks a file and reports each invalid setting.",
+        "",
+    ]
     for name, section in sections.items():
         lines += [f"## [{name}]", "", section["doc"], ""]
         lines += ["| Key | Type | Unit | Allowed | Default | Meaning |"]
