--- a/src/siskinshift/configuration/reader.py
+++ b/src/siskinshift/configuration/reader.py
@@ -11,7 +11,7 @@
 from siskinshift.configuration.read_schedule import OpenWatch
 from siskinshift.configuration.read_schedule import ReadAll
 from siskinshift.configuration.read_schedule import ReadSchedule
-from siskinshift.configuration.records import PREFIX
+from siskinshift.configuration.records import CONFIGURATION_PREFIX
 from siskinshift.configuration.records import ROOT_KEY
 from siskinshift.configuration.records import decode_services
 from siskinshift.control.codec import encode_message
@@ -245,7 +245,7 @@
                 self._schedule.on_failed(now=self._clock())
 
     def _read_all(self) -> None:
-        snapshot = self._store.list_prefix(PREFIX)
+        snapshot = self._store.list_prefix(CONFIGURATION_PREFIX)
         self._deliver(snapshot.entries)
         root_revision = _root_revision(snapshot.entries)
         with self._lock:
@@ -262,7 +262,7 @@
 
     def _open_watch(self, action: OpenWatch) -> None:
         try:
-            watch = self._store.watch(PREFIX, action.start_revision)
+            watch = self._store.watch(CONFIGURATION_PREFIX, action.start_revision)
         except StoreUnavailableError:
             with self._lock:
                 self._schedule.on_watch_ended()
--- a/src/siskinshift/configuration/records.py
+++ b/src/siskinshift/configuration/records.py
@@ -27,9 +27,9 @@
     from siskinshift.kv.port import Snapshot
 
 
-PREFIX = "siskinshift/configuration/"
-ROOT_KEY = PREFIX + "root"
-SERVICE_PREFIX = PREFIX + "service/"
+CONFIGURATION_PREFIX = "siskinshift/configuration/"
+ROOT_KEY = CONFIGURATION_PREFIX + "root"
+SERVICE_PREFIX = CONFIGURATION_PREFIX + "service/"
 
 # About seven hours at 410 changes a day, far longer than a client waits for the reply
 # to a change.
@@ -190,7 +190,7 @@
     """Decodes all records.
 
     Args:
-        snapshot: All entries with PREFIX.
+        snapshot: All entries with CONFIGURATION_PREFIX.
 
     Returns:
         The configuration.
--- a/src/siskinshift/configuration/store.py
+++ b/src/siskinshift/configuration/store.py
@@ -16,7 +16,7 @@
 from siskinshift.configuration.exceptions import InvalidChangeError
 from siskinshift.configuration.exceptions import RecordTooLargeError
 from siskinshift.configuration.exceptions import RevisionConflictError
-from siskinshift.configuration.records import PREFIX
+from siskinshift.configuration.records import CONFIGURATION_PREFIX
 from siskinshift.configuration.records import ROOT_KEY
 from siskinshift.configuration.records import Configuration
 from siskinshift.configuration.records import RootEntry
@@ -110,7 +110,7 @@
         Raises:
             StoreUnavailableError: The store did not respond, or the root is malformed.
         """
-        snapshot = self._store.list_prefix(PREFIX)
+        snapshot = self._store.list_prefix(CONFIGURATION_PREFIX)
         try:
             return decode_configuration(snapshot)
         except BadMessageError as error:
--- a/src/siskinshift/membership/failure_detector.py
+++ b/src/siskinshift/membership/failure_detector.py
@@ -39,7 +39,7 @@
 
 
 @define(eq=False)
-class _Watched:
+class _WatchedMember:
     domain: str
     last_seen_at: float
     has_been_seen: bool = False
@@ -83,7 +83,7 @@
             settings: Timeouts.
         """
         self._settings = settings
-        self._watched_by_id: dict[str, _Watched] = {}
+        self._watched_by_id: dict[str, _WatchedMember] = {}
         self._checked_at: float | None = None
 
     @property
@@ -104,7 +104,7 @@
         """
         if member_id not in self._watched_by_id:
             last_seen_at = now + TAKEOVER_GRACE_SECONDS
-            self._watched_by_id[member_id] = _Watched(
+            self._watched_by_id[member_id] = _WatchedMember(
                 domain=domain, last_seen_at=last_seen_at
             )
 
@@ -164,11 +164,11 @@
             The verdicts; expelled members are no longer watched.
         """
         self._discount_own_pause(now)
-        late = self._late(now)
+        late = self._late_ids(now)
         if not late:
             return FailureVerdicts((), (), ())
         partitioned = self._partitioned_domains(late) | suspect_domains
-        probe = self._to_probe(late, now)
+        probe = self._ids_to_probe(late, now)
         suspect = []
         expel = []
         for member_id in late:
@@ -198,7 +198,7 @@
                     watched.last_seen_at += pause
         self._checked_at = now
 
-    def _late(self, now: float) -> list[str]:
+    def _late_ids(self, now: float) -> list[str]:
         limit = now - self._settings.heartbeat_interval * LATE_INTERVALS
         return [
             member_id
@@ -206,7 +206,7 @@
             if watched.last_seen_at < limit
         ]
 
-    def _to_probe(self, late: Iterable[str], now: float) -> tuple[str, ...]:
+    def _ids_to_probe(self, late: Iterable[str], now: float) -> tuple[str, ...]:
         probe = []
         for member_id in late:
             watched = self._watched_by_id[member_id]
@@ -232,7 +232,7 @@
         }
 
 
-def _had_time_to_reply(watched: _Watched, now: float) -> bool:
+def _had_time_to_reply(watched: _WatchedMember, now: float) -> bool:
     # If two heartbeats are lost in a row, the next check may find the member both late
     # and past the suspicion timeout before any probe was sent. At 10 % loss a fleet of
     # thousands would produce a hundred false suspicions a second.
--- a/src/siskinshift/membership/gossip.py
+++ b/src/siskinshift/membership/gossip.py
@@ -62,11 +62,11 @@
 
 @define(eq=False)
 class _Link:
-    batches: _TokenBucket = field(
+    batch_limiter: _TokenBucket = field(
         factory=lambda: _TokenBucket(BATCH_BURST, BATCH_BURST, BATCHES_PER_SECOND)
     )
-    services: dict[str, None] = field(factory=dict)
-    members: dict[str, None] = field(factory=dict)
+    pending_service_ids: dict[str, None] = field(factory=dict)
+    pending_member_ids: dict[str, None] = field(factory=dict)
     in_flight: tuple[RecordKey, ...] = ()
     next_at: float = 0.0
     failures: int = 0
@@ -102,7 +102,9 @@
         self._random = random
         self._links_by_endpoint: dict[Endpoint, _Link] = {}
         self._updated_at_by_key: dict[RecordKey, float] = {}
-        self._records = _TokenBucket(RECORD_BURST, RECORD_BURST, RECORDS_PER_SECOND)
+        self._record_limiter = _TokenBucket(
+            RECORD_BURST, RECORD_BURST, RECORDS_PER_SECOND
+        )
 
     @property
     def neighbours(self) -> tuple[Endpoint, ...]:
@@ -139,7 +141,11 @@
                 # The sender has this state already.
                 _pending_keys(link, record_key).pop(record_key.key, None)
                 continue
-            if not link.services and not link.members and not link.failures:
+            if (
+                not link.pending_service_ids
+                and not link.pending_member_ids
+                and not link.failures
+            ):
                 link.next_at = max(link.next_at, now + BATCH_DELAY_SECONDS)
             _pending_keys(link, record_key)[record_key.key] = None
 
@@ -163,13 +169,13 @@
         Returns:
             One batch for each link that may send.
         """
-        self._records.refill(now)
+        self._record_limiter.refill(now)
         self._remove_old_updates(now)
         batches = []
         for endpoint, link in self._links_by_endpoint.items():
             if link.in_flight or link.next_at > now:
                 continue
-            if not link.services and not link.members:
+            if not link.pending_service_ids and not link.pending_member_ids:
                 continue
             keys = self._next_batch(link, now)
             if keys:
@@ -186,7 +192,8 @@
             (
                 link.next_at
                 for link in self._links_by_endpoint.values()
-                if (link.services or link.members) and not link.in_flight
+                if (link.pending_service_ids or link.pending_member_ids)
+                and not link.in_flight
             ),
             default=float("inf"),
         )
@@ -238,28 +245,38 @@
             del recent[oldest]
 
     def _next_batch(self, link: _Link, now: float) -> tuple[RecordKey, ...]:
-        link.batches.refill(now)
-        if link.batches.tokens < 1.0 and not link.services:
-            link.next_at = now + (1.0 - link.batches.tokens) / link.batches.rate
+        link.batch_limiter.refill(now)
+        if link.batch_limiter.tokens < 1.0 and not link.pending_service_ids:
+            link.next_at = (
+                now + (1.0 - link.batch_limiter.tokens) / link.batch_limiter.rate
+            )
             return ()
-        if self._records.tokens < 1.0 and not link.services:
+        if self._record_limiter.tokens < 1.0 and not link.pending_service_ids:
             # The tokens of about half a second make a batch worth its headers.
             link.next_at = now + self._random.uniform(0.25, 0.75)
             return ()
         # Services are few and are sent whatever tokens are left, since a change of
         # one must take effect soon.
-        keys = [RecordKey(True, key) for key in list(link.services)[:MAX_BATCH_RECORDS]]
+        keys = [
+            RecordKey(True, key)
+            for key in list(link.pending_service_ids)[:MAX_BATCH_RECORDS]
+        ]
         member_count = min(
-            MAX_BATCH_RECORDS - len(keys), max(0, int(self._records.tokens))
+            MAX_BATCH_RECORDS - len(keys), max(0, int(self._record_limiter.tokens))
         )
-        keys += [RecordKey(False, key) for key in list(link.members)[:member_count]]
+        keys += [
+            RecordKey(False, key)
+            for key in list(link.pending_member_ids)[:member_count]
+        ]
         for record_key in keys:
             del _pending_keys(link, record_key)[record_key.key]
-        link.batches.tokens -= 1.0
-        self._records.tokens -= len(keys)
+        link.batch_limiter.tokens -= 1.0
+        self._record_limiter.tokens -= len(keys)
         link.in_flight = tuple(keys)
         return link.in_flight
 
 
 def _pending_keys(link: _Link, record_key: RecordKey) -> dict[str, None]:
-    return link.services if record_key.is_service else link.members
+    return (
+        link.pending_service_ids if record_key.is_service else link.pending_member_ids
+    )
--- a/src/siskinshift/membership/links.py
+++ b/src/siskinshift/membership/links.py
@@ -80,13 +80,13 @@
 
 
 def _domain_neighbours(own: Member, balancers: list[Member]) -> list[Member]:
-    by_domain: dict[str, list[Member]] = {}
+    balancers_by_domain: dict[str, list[Member]] = {}
     for member in balancers:
         if member.region == own.region:
-            by_domain.setdefault(member.failure_domain, []).append(member)
-    own_side = by_domain.pop(own.failure_domain)
+            balancers_by_domain.setdefault(member.failure_domain, []).append(member)
+    own_side = balancers_by_domain.pop(own.failure_domain)
     neighbours = []
-    for domain, other_side in by_domain.items():
+    for domain, other_side in balancers_by_domain.items():
         pair_key = "|".join(sorted((own.failure_domain, domain)))
         neighbours += _gateway_neighbours(
             own, own_side, other_side, f"{own.region}|{pair_key}", DOMAIN_LINKS
@@ -95,12 +95,12 @@
 
 
 def _region_neighbours(own: Member, balancers: list[Member]) -> list[Member]:
-    by_region: dict[str, list[Member]] = {}
+    balancers_by_region: dict[str, list[Member]] = {}
     for member in balancers:
-        by_region.setdefault(member.region, []).append(member)
-    own_side = by_region.pop(own.region)
+        balancers_by_region.setdefault(member.region, []).append(member)
+    own_side = balancers_by_region.pop(own.region)
     neighbours = []
-    for region, other_side in by_region.items():
+    for region, other_side in balancers_by_region.items():
         pair_key = "|".join(sorted((own.region, region)))
         neighbours += _gateway_neighbours(
             own, own_side, other_side, pair_key, REGION_LINKS
--- a/src/siskinshift/membership/table.py
+++ b/src/siskinshift/membership/table.py
@@ -68,7 +68,7 @@
         return len(self.member_ids) + len(self.service_ids) > MAX_FULL_UPDATE_RECORDS
 
     def record_change(self, change: ClassChange) -> None:
-        """Adds a change to the last changes.
+        """Adds a change to the last changes of a large class; ignored for a small one.
 
         Args:
             change: The change.
