--- a/src/siskinshift/agent/request_runner.py
+++ b/src/siskinshift/agent/request_runner.py
@@ -69,7 +69,12 @@
 
 
 class RequestRunner:
-    """Tracks the requests of an agent from arrival to final response."""
+    """Tracks the requests of an agent from arrival to final response.
+
+    Attributes:
+        handover: Runs requests at peers and serves theirs; it sets itself here.
+        pinned_paths: Paths whose requests are not handed over.
+    """
 
     def __init__(
         self,
--- a/src/siskinshift/runtime/life_cycle.py
+++ b/src/siskinshift/runtime/life_cycle.py
@@ -20,11 +20,12 @@
 
 
 class LifeCycle:
-    """Base class of processes; hooks run in the order start, stopping, stop.
+    """Base class of processes; hooks run in the order on_start, leave, on_stop.
 
     Attributes:
         stopping: Set when the application must stop.
         is_aborted: Whether it stops without notifying peers, as in a crash.
+        executor: Runs the tasks of the application, each on a thread.
     """
 
     def __init__(self, *, name: str) -> None:
--- a/src/siskinshift/wire/codec.py
+++ b/src/siskinshift/wire/codec.py
@@ -40,7 +40,10 @@
 
 
 class PacketCodec:
-    """Encodes and decodes datagrams exchanged with the fabric."""
+    """Encodes and decodes datagrams exchanged with the fabric.
+
+    The fabric is the network that distributes callers' datagrams over the balancers.
+    """
 
     def pack(self, packet: Packet) -> bytes:
         """Encodes a packet without an envelope, in the format of the fabric.
--- a/tools/compile_records.py
+++ b/tools/compile_records.py
@@ -25,7 +25,7 @@
 
 
 PACKAGE = "siskinshift"
-# Lists the modules that the two programs import; only these are compiled.
+# Lists the modules that agent and balancer nodes import; only these are compiled.
 LIST_MODULES = """
 import sys
 import siskinshift.connections.run
