--- a/src/siskinshift/load/fair_queues.py
+++ b/src/siskinshift/load/fair_queues.py
@@ -177,7 +177,7 @@
         keys = [other for other, queue in self._queues_by_group.items() if len(queue)]
         importances = self._importances([*keys, key])
         self._service_order.record_start(key[0], importances, cost=cost)
-        self._group_order.start(key, cost=cost, weight=self._shares.weight(key))
+        self._group_order.charge(key, cost=cost, weight=self._shares.weight(key))
         self._queue(key).charge(work, cost)
 
     def record_end(
@@ -218,7 +218,8 @@
         return min(len(queue), turns) / service_rate
 
     def _slot_fraction(self, key: GroupKey) -> float:
-        # Fraction of the slots for the group while all queued groups stay queued.
+        # Fraction of the slots that the group gets while each group that has queued
+        # requests now continues to have some.
         keys = {other for other, queue in self._queues_by_group.items() if len(queue)}
         keys.add(key)
         importances = self._importances(keys)
--- a/src/siskinshift/load/gate.py
+++ b/src/siskinshift/load/gate.py
@@ -1,17 +1,16 @@
 """Request gate of an agent: admission, queueing, handover and retries.
 
-The modules of the gate (`gate`, `gate_state`, `dispatcher`, `peer_requests`,
-`peer_search`, `retries`) alone guarantee two invariants:
+Only the modules of the gate (`gate`, `gate_state`, `dispatcher`, `peer_requests`,
+`peer_search`, `retries`) maintain two invariants:
 
 - A request is refused as "not run" only while `WorkItem.offered` is false. The flag is
-  set before the action that offers a byte is returned (`Dispatcher`, `PeerSearch`). It
-  is cleared only by a result that reports that no byte reached any upstream
-  (`RetryPolicy`).
+  set before the action that offers a byte is returned (`Dispatcher`, `PeerSearch`), and
+  cleared only by a result that no byte reached any upstream (`RetryPolicy`).
 - A request that may not be repeated is started once (`StartRequest` or `RunAtPeer`).
   After that each end without a response is a `FailRequest`.
 
-A request that ends without a response from the upstream gets its final response in the
-actions of the event or tick that ends it.
+If the upstream gives no response, the actions of the event or tick that ends the
+request contain its final response.
 """
 
 from __future__ import annotations
@@ -95,8 +94,10 @@
         self._peer_requests = PeerRequests(self._state)
         self._retry_policy = RetryPolicy(self._state)
         self._dispatcher = Dispatcher(self._state, self._peer_requests)
-        name = f"{member_id}/{incarnation}"
-        self._peer_search = PeerSearch(self._state, self._dispatcher, name=name)
+        id_prefix = f"{member_id}/{incarnation}"
+        self._peer_search = PeerSearch(
+            self._state, self._dispatcher, id_prefix=id_prefix
+        )
         self.usage_table = UsageTable(member_id=member_id)
         self._next_exchange_at = now
 
--- a/src/siskinshift/load/group_queue.py
+++ b/src/siskinshift/load/group_queue.py
@@ -97,7 +97,7 @@
             work: The request.
             cost: Expected slot seconds.
         """
-        self._caller_order.start(work.request.caller, cost=cost, weight=CALLER_WEIGHT)
+        self._caller_order.charge(work.request.caller, cost=cost, weight=CALLER_WEIGHT)
 
     def correct(self, work: WorkItem, cost: float) -> None:
         """Adds the difference between the actual and the expected cost.
--- a/src/siskinshift/load/peer_requests.py
+++ b/src/siskinshift/load/peer_requests.py
@@ -23,7 +23,7 @@
 # Time in which a peer must reply before the request is queued at its own agent: about
 # ten round trips.
 HOLD_TIMEOUT_SECONDS = 0.02
-# Open reservations of peers for each configured slot.
+# Limit of open reservations of peers, for each configured slot.
 MAX_PEER_REQUESTS_PER_SLOT = 4
 
 
--- a/src/siskinshift/load/peer_search.py
+++ b/src/siskinshift/load/peer_search.py
@@ -36,17 +36,19 @@
         peers: Selects the peers to query.
     """
 
-    def __init__(self, state: GateState, dispatcher: Dispatcher, *, name: str) -> None:
+    def __init__(
+        self, state: GateState, dispatcher: Dispatcher, *, id_prefix: str
+    ) -> None:
         """Initializes the search without peers.
 
         Args:
             state: The gate's state.
             dispatcher: Starts the requests that no peer accepted.
-            name: Member id and incarnation of the agent; prefix of reservation ids.
+            id_prefix: Prefix of reservation ids: the agent's member id and incarnation.
         """
         self._state = state
         self._dispatcher = dispatcher
-        self._name = name
+        self._id_prefix = id_prefix
         self._reservation_numbers = itertools.count(1)
         self.peers = PeerSelector(random=state.random)
 
@@ -74,7 +76,8 @@
         work = self._state.work_by_id.get(request_id)
         if work is None or reservation_id not in work.peer_ids_by_reservation_id:
             # The reply is late or a duplicate; the request runs elsewhere or has ended.
-            # The peer may hold an unused slot; it keeps a reservation that is in use.
+            # The release frees a slot that the peer may hold for it; the peer ignores
+            # the release of a reservation in use.
             return [ReleaseAtPeer(peer_id, reservation_id)] if granted else []
         del work.peer_ids_by_reservation_id[reservation_id]
         self._state.searching_ids.discard(request_id)
@@ -167,7 +170,7 @@
 
     def _reserve_at_next(self, work: WorkItem, *, wait: float) -> list[GateAction]:
         peer_id = work.candidate_ids.pop(0)
-        reservation_id = f"{self._name}/{next(self._reservation_numbers)}"
+        reservation_id = f"{self._id_prefix}/{next(self._reservation_numbers)}"
         work.peer_ids_by_reservation_id[reservation_id] = peer_id
         request_id = work.request.request_id
         return [ReserveAtPeer(request_id, peer_id, reservation_id, wait)]
--- a/src/siskinshift/load/peers.py
+++ b/src/siskinshift/load/peers.py
@@ -1,20 +1,19 @@
-"""Selection of peers for the handover of requests, and its pacing.
+"""Selection of peers for the handover of requests, and the pauses between queries.
 
-Flows that last hours pin requests to some agents, so some agents queue requests while
-others are idle, and load reports lag or are wrong. Without handover a request waits in
-its agent's queue although a slot is free elsewhere. If agents relied on load reports,
-all of them would send to the peer with the lowest report (herding).
+Flows that last hours pin requests to some agents, whose queues grow while other agents
+have free slots. Load reports lag or are wrong, and agents that relied on them would all
+send to the peer with the lowest report (herding). So two random candidates are queried
+and their replies decide; the reports only order the two.
 
-Two random candidates are queried and their replies decide; the load reports only order
-the two. The pause after refusals doubles from 20 to at most 80 ms: at saturation every
-agent is full, and a query for each queued request would cost messages without benefit.
-Jitter shortens each pause by up to half, so that agents do not query at the same time.
+The pause after refusals doubles from 20 to at most 80 ms: at saturation every agent is
+full, and a query for each queued request would cost messages without benefit. Jitter
+shortens each pause by up to half, so that agents do not query at the same time.
 
 Handover of queued requests alone would leave an overloaded agent fully busy while its
 peers are half idle. So an agent that is busier than the mean of its service offers a
-fraction of its new requests to peers first, even if its own slot is free. That fraction
-changes by at most a twentieth of full scale with each exchange of usage sums (damping),
-because the sums lag by seconds.
+fraction of its new requests to peers first, even if its own slot is free. The fraction
+changes by at most 0.05 with each exchange of usage sums (damping), because the sums lag
+by seconds.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/retry_budget.py
+++ b/src/siskinshift/load/retry_budget.py
@@ -8,8 +8,9 @@
 single failures are hidden; if most fail, load rises by a tenth at most. The saved
 budget is limited to ten retries, so that an hour with low load does not allow a retry
 storm. The back-off is drawn uniformly from zero to a bound that doubles (full jitter),
-so that requests which failed together are not retried together, and never extends past
-the deadline.
+so that requests which failed together are not retried together. It does not take the
+deadline into account: a request whose deadline passes during its back-off fails at the
+end of the back-off.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/shares.py
+++ b/src/siskinshift/load/shares.py
@@ -1,11 +1,11 @@
 """Service-wide fair shares of groups by adjustment of local weights.
 
-Agents that are fair locally may be unfair over the whole service (see `usage`). Each
+Agents that are fair locally may be unfair over the whole service (see `usage`). So each
 agent compares the usage of a group over the service with its fair usage and adjusts the
 weight of the group in its own fair queue.
 
-Without damping all agents correct the same difference at once, overshoot, and the
-weights oscillate. So one step corrects only half of the difference (the square root of
+All agents correct the same difference at once, so full corrections would overshoot and
+the weights would oscillate. A step corrects half of the difference (the square root of
 the ratio) and at most a fifth, and a factor stays within 1/4 to 4. At two steps a
 second, that is eight times the rate at which the averages of `usage` follow; smaller
 steps leave a difference in place for tens of seconds. A group without queued requests
--- a/src/siskinshift/load/upstream_health.py
+++ b/src/siskinshift/load/upstream_health.py
@@ -1,17 +1,16 @@
 """Passive detection of a slow or unhealthy upstream (outlier detection).
 
-An upstream may be ten times slower than its peers or fail all requests while its health
-and load endpoints, which lag or mislead, report no problem. Without detection an
-upstream that fails fast looks idle and attracts the most requests, and a slow one keeps
-its callers' requests in its queue while peers have free slots.
-
-An upstream is slow if its mean slot time is over three times the median of its peers.
-Factors under two arise from chance and long requests alone. It is unhealthy after eight
-consecutive failures; at a failure rate of one in four that happens by chance once in
-65,000 requests. An unhealthy upstream gets one request a second as a probe. If more
-than half of a service looks unhealthy, the cause is most likely shared (the network,
-the detector), so the detection is ignored and all upstreams get requests (panic
-threshold): an upstream that may fail is better than none.
+An upstream's health and load endpoints lag or mislead. Without detection an upstream
+that fails fast looks idle and attracts the most requests, and one that is ten times
+slower than its peers keeps its callers' requests in its queue while peers have free
+slots.
+
+An upstream is slow if its mean slot time is over three times the median of its peers;
+factors under two arise from chance and long requests alone. It is unhealthy after eight
+consecutive failures, which at a failure rate of one in four happen by chance once in
+65,000 requests. It then gets one request a second as a probe. If more than half of a
+service looks unhealthy, the cause is most likely shared (the network, the detector), so
+all upstreams get requests (panic threshold): one that may fail is better than none.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/load/virtual_time.py
+++ b/src/siskinshift/load/virtual_time.py
@@ -54,7 +54,7 @@
         """
         return min(keys, key=self._virtual_time_of)
 
-    def start(self, key: KeyT, *, cost: float, weight: float) -> None:
+    def charge(self, key: KeyT, *, cost: float, weight: float) -> None:
         """Charges a key for the start of a request.
 
         Args:
