--- a/src/siskinshift/flows/note_audit.py
+++ b/src/siskinshift/flows/note_audit.py
@@ -90,7 +90,8 @@
             # While its own claim is active, this agent may still be permitted flows.
             if claim is None or claim.left_at is not None:
                 authoritative_buckets.append(bucket)
-        # A query with a higher version came from an earlier incarnation.
+        # A version above that of the view belongs to a query of an earlier incarnation
+        # of this agent; the list covers that query as well.
         version = max(view.version, notes.audited_version)
         return self._lists.send(
             state,
--- a/src/siskinshift/flows/router.py
+++ b/src/siskinshift/flows/router.py
@@ -31,10 +31,11 @@
     from siskinshift.settings.generated import FlowsSettings
 
 
-# After a bucket has a new primary, the old one still creates flows for this long, so
-# that new callers need not wait until the new primary has received its view. A
-# leaving agent loses its last bucket after shift_duration (1.5 s); the sum stays
-# below the 3 s after which a leaving agent must not accept new flows.
+# After a bucket has a new primary, the old one still creates flows until the new one
+# claims the bucket, at most for this long, so that new callers need not wait until the
+# new primary has received its view. A leaving agent loses its last bucket after
+# shift_duration (1.5 s); the sum stays below the 3 s after which a leaving agent must
+# not accept new flows.
 CREATION_GRACE_SECONDS = 1.0
 # An ended flow remains owned for this long, so that a late duplicate of its last
 # packet does not create the flow again on another agent.
