--- a/src/siskinshift/connections/actions.py
+++ b/src/siskinshift/connections/actions.py
@@ -50,7 +50,7 @@
 
     Attributes:
         flow: The flow.
-        acknowledged: What the caller acknowledged last.
+        acknowledged: Number that the caller acknowledged last.
     """
 
     flow: bytes
--- a/src/siskinshift/connections/agent_flows.py
+++ b/src/siskinshift/connections/agent_flows.py
@@ -347,7 +347,8 @@
             return [self._refuse(Verdict.WRONG_SERVICE, segment.flow, sender)]
         flow = self._flows.get(segment.flow)
         if self.is_evacuated and (flow is None or not flow.is_confirmed):
-            # Also refuses a retransmission: earlier packets may have been lost.
+            # Also refuses a retransmission, since the upstream may not have received
+            # the earlier packets.
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
         if flow is None and (self.is_draining or not self._upstream.accepts(now=now)):
             return [self._refuse(Verdict.UNAVAILABLE, segment.flow, sender)]
--- a/src/siskinshift/connections/agent_node.py
+++ b/src/siskinshift/connections/agent_node.py
@@ -80,7 +80,7 @@
     """The agent that owns the flows of the upstream on its instance."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Binds the sockets.
+        """Initializes the agent and binds its sockets.
 
         Args:
             settings: Settings of the node, with an upstream and its outlet.
@@ -109,7 +109,7 @@
             upload=self._snapshot_upload.upload,
             log=self.log,
         )
-        self._schedule = self.new_heartbeat_schedule(
+        self._heartbeat_schedule = self.new_heartbeat_schedule(
             interval=MIN_HEARTBEAT_INTERVAL_SECONDS
         )
         self._last_heartbeat_at = float("-inf")
@@ -218,10 +218,12 @@
         """Sends due heartbeats to balancers and checks the upstream."""
         self.perform(self.flows.tick(now=now))
         self._update_member(now)
-        if now >= self._schedule.next_due:
-            for heartbeat_round in self._schedule.due(self.fleet.balancers(), now=now):
+        if now >= self._heartbeat_schedule.next_due:
+            for heartbeat_round in self._heartbeat_schedule.due(
+                self.fleet.balancers(), now=now
+            ):
                 self.send_heartbeats(heartbeat_round)
-        due = self._schedule.next_due
+        due = self._heartbeat_schedule.next_due
         if not self.is_shutting_down:
             self._probe_if_late(now)
             return min(due, now + CHECK_INTERVAL_SECONDS)
--- a/src/siskinshift/connections/balancer_flows.py
+++ b/src/siskinshift/connections/balancer_flows.py
@@ -180,7 +180,7 @@
         Returns:
             Actions to perform.
         """
-        early = self._early_packets.take(now=now)
+        early = self._early_packets.pop_recent(now=now)
         return [
             action for segment in early for action in self.on_segment(segment, now=now)
         ]
@@ -449,7 +449,7 @@
     def _is_evacuated(self, service_id: str, *, now: float) -> bool:
         """Returns whether all agents of a service are evacuated.
 
-        Holding a packet is useless then.
+        Holding an opening packet is useless then.
         """
         agents = self._fleet.agents_of(service_id)
         has_all_agents = bool(agents) and self._fleet.is_complete(now=now)
--- a/src/siskinshift/connections/balancer_node.py
+++ b/src/siskinshift/connections/balancer_node.py
@@ -75,7 +75,7 @@
     """Receives callers' packets and forwards each to an agent."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Binds the sockets.
+        """Initializes the balancer and binds its sockets.
 
         Args:
             settings: Settings of the node.
--- a/src/siskinshift/connections/early_packets.py
+++ b/src/siskinshift/connections/early_packets.py
@@ -38,7 +38,7 @@
         """
         self._packets.append((now, segment))
 
-    def take(self, *, now: float) -> list[Segment]:
+    def pop_recent(self, *, now: float) -> list[Segment]:
         """Removes all packets and returns the recent ones.
 
         Args:
--- a/src/siskinshift/connections/fleet.py
+++ b/src/siskinshift/connections/fleet.py
@@ -103,9 +103,9 @@
 
     @property
     def was_idle(self) -> bool:
-        """Whether it last reported to certainly hold no flow, and is not ready."""
-        is_open = self.member.state is MemberState.READY
-        return self.load.is_certain and not self.load.flows and not is_open
+        """Whether, by its last report, it certainly holds no flow and is not ready."""
+        is_ready = self.member.state is MemberState.READY
+        return self.load.is_certain and not self.load.flows and not is_ready
 
     def is_unresponsive(self, *, now: float) -> bool:
         """Returns whether the peer has missed the timeout for its next message.
--- a/src/siskinshift/connections/forwarding.py
+++ b/src/siskinshift/connections/forwarding.py
@@ -90,7 +90,9 @@
         Returns:
             The messages.
         """
-        missed = self._recent_packets.take(agent.member.member_id, since=since, now=now)
+        missed = self._recent_packets.pop_missed(
+            agent.member.member_id, since=since, now=now
+        )
         return [self.to_agent(agent, Purpose.OWNED, packet) for packet in missed]
 
     def _service_tag(self, service_id: str) -> int:
--- a/src/siskinshift/connections/heartbeat_schedule.py
+++ b/src/siskinshift/connections/heartbeat_schedule.py
@@ -39,7 +39,7 @@
 
 
 class HeartbeatSchedule:
-    """Schedule of one node's heartbeats to the peers of one kind."""
+    """Schedule of one node's heartbeats to the peers of one role."""
 
     def __init__(self, *, failure_domain: str, interval: float) -> None:
         """Initializes the schedule with all heartbeats due.
@@ -68,7 +68,7 @@
         """Returns the heartbeats that are due.
 
         Args:
-            peers: All peers of the kind, in a stable order.
+            peers: All peers of the role, in a stable order.
             now: Clock reading, seconds.
 
         Returns:
--- a/src/siskinshift/connections/node.py
+++ b/src/siskinshift/connections/node.py
@@ -63,8 +63,8 @@
 # first read of the store. Without a read the node waits for this long first, since the
 # seeds may be starting as well.
 SEED_DELAY_SECONDS = 0.3
-# Lists of hosts that arrive later than this after the start are ignored: the node has
-# stopped querying, so the sender is not one of the queried peers.
+# Once all peers are known, lists of hosts that arrive later than this after the start
+# are ignored: the node has stopped querying, so the sender is not a queried peer.
 ACCEPT_HOSTS_SECONDS = 5.0
 SEED_INTERVAL_SECONDS = 0.5
 MAX_QUERIED_PEERS = 2
--- a/src/siskinshift/connections/owner_finder.py
+++ b/src/siskinshift/connections/owner_finder.py
@@ -230,7 +230,10 @@
     def _postpone(
         self, record: FlowRecord, lookup: OwnerLookup, *, now: float
     ) -> list[Action]:
-        """Delays a lookup until the link budget allows it; its progress is kept."""
+        """Delays a lookup that exceeds the link budget and keeps its progress.
+
+        A lookup that has not queried any agent by its deadline is abandoned.
+        """
         if not lookup.queried and now - lookup.started_at > MAX_LOOKUP_SECONDS:
             return self._abandon(record, reason="link budget")
         lookup.next_batch_at = now + LOOKUP_RETRY_SECONDS
--- a/src/siskinshift/connections/owner_lookup.py
+++ b/src/siskinshift/connections/owner_lookup.py
@@ -36,10 +36,10 @@
 QUERY_BATCH_INTERVAL_SECONDS = 0.03
 # A live agent replies within this time even if it was unresponsive before.
 REPLY_WINDOW_SECONDS = 0.1
-# Largest fraction of the queried agents that may be unresponsive in a conclusive
-# lookup. Instances that fail together belong to one failure domain, a third to a fifth
-# of all; beyond that the cause is more likely this balancer's own link or processor,
-# which is overloaded.
+# Largest fraction of the queried agents that may be unresponsive when a lookup
+# concludes that no agent holds the flow. Instances that fail together belong to one
+# failure domain, a third to a fifth of all; beyond that the cause is more likely this
+# balancer's own link or processor, which is overloaded.
 MAX_UNRESPONSIVE_FRACTION = 0.25
 # Packets kept for a lookup; a caller has at most sixteen in flight.
 MAX_LOOKUP_PACKETS = 16
@@ -188,7 +188,7 @@
             now: Clock reading, seconds.
 
         Returns:
-            Whether a new lookup has to start.
+            Whether the caller's next packet has to start a new lookup.
         """
         return now >= self.next_batch_at and not self.awaited_agents(fleet, now=now)
 
--- a/src/siskinshift/connections/peer_messages.py
+++ b/src/siskinshift/connections/peer_messages.py
@@ -69,7 +69,8 @@
 
     Attributes:
         flow: The flow.
-        acknowledged: What its caller acknowledged last; it identifies the upstream.
+        acknowledged: Number that its caller acknowledged last; it identifies the
+            upstream.
     """
 
     flow: bytes
--- a/src/siskinshift/connections/placement.py
+++ b/src/siskinshift/connections/placement.py
@@ -6,11 +6,11 @@
 With random choice alone the most loaded upstream holds half as many flows again as the
 mean, which delays every request of its flows.
 
-Two agents are drawn at random and the less loaded one is chosen; flows that this node
-placed there since the last report are added to the reported load. Agents of the same
-failure domain are preferred, because traffic between domains is charged and adds a
-millisecond; an agent of another domain is chosen if its cost is lower by more than a
-margin.
+Of the agents that the flow's hash selects, two are drawn at random and the one with the
+lower cost is chosen. The cost includes the flows that this node placed there since the
+last report. Agents of the same failure domain are preferred, because traffic between
+domains is charged and adds a millisecond, unless one of another domain costs less by
+more than a margin.
 """
 
 from __future__ import annotations
--- a/src/siskinshift/connections/recent_packets.py
+++ b/src/siskinshift/connections/recent_packets.py
@@ -44,7 +44,7 @@
         """
         self._packets.append(_SentPacket(now, member_id, datagram))
 
-    def take(self, member_id: str, *, since: float, now: float) -> list[bytes]:
+    def pop_missed(self, member_id: str, *, since: float, now: float) -> list[bytes]:
         """Removes an agent's packets and returns those that it may have missed.
 
         Args:
--- a/src/siskinshift/connections/registration.py
+++ b/src/siskinshift/connections/registration.py
@@ -251,7 +251,9 @@
             try:
                 member = member_from_document(parse_object(entry.value))
                 if entry.key != member_key(member.member_id, member.role):
-                    raise BadMessageError(f"member_id: {member.member_id!r}")
+                    raise BadMessageError(
+                        f"member_id: {member.member_id!r}; the entry has another key"
+                    )
             except BadMessageError as error:
                 # Written by a foreign writer or by another version, whose node sends
                 # its own messages to this one. The other entries are valid.
--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -1,23 +1,20 @@
 """Queues requests at the agent and chooses the one that the upstream gets next.
 
-After a fault all callers return simultaneously to upstreams that are cold, or a burst
-reaches upstreams of one to three slots. An upstream queues a few requests in order of
-arrival and refuses the rest. Callers then use up their retries within a second, and
-while the upstream works off requests that are already late, each new one becomes late
-as well.
-
-The agent therefore forwards as many requests as there are slots, and one more so that
-no slot idles, and queues the rest. A flow carries one request at a time: the caller
-sends data, and the upstream responds with data. The next request is, in this order:
+After a fault all callers return simultaneously to cold upstreams, or a burst reaches
+upstreams of one to three slots. An upstream queues a few requests in order of arrival
+and refuses the rest, so callers use up their retries within a second, and each new
+request becomes late behind late ones. The agent therefore forwards as many requests as
+there are slots, and one more so that no slot idles, and queues the rest. A flow carries
+one request at a time. The next request is, in this order:
 
 1. one that is late and has used up most of the time until its deadline, so that late
    work is still done;
-2. one that can still meet its objective, more urgent routes first, in order of arrival;
+2. one that can still meet its objective;
 3. one that is already late.
 
-Late requests are served in order of arrival. After an outage their callers have waited
-longer than the queue can measure: a request may have been queued for milliseconds and
-still be close to its caller's deadline.
+Within each group more urgent routes go first, then the earliest arrival. This holds for
+late requests too: after an outage their callers have waited longer than the queue can
+measure, so a request queued for milliseconds may be close to its caller's deadline.
 
 A request whose deadline has passed, or will pass before a response is possible, is
 dropped, since it would occupy a slot that another request could use.
