--- a/src/siskinshift/connections/graceful_shutdown.py
+++ b/src/siskinshift/connections/graceful_shutdown.py
@@ -23,7 +23,7 @@
 
 
 # Routers probe every half second, and two failures take a balancer out of rotation.
-ROTATION_SECONDS = 1.6
+ROTATION_REMOVAL_SECONDS = 1.6
 # Packets in transit have arrived if no caller's packet was received for this time.
 QUIET_SECONDS = 0.5
 # Reserved for clean-up before the process is killed.
@@ -64,13 +64,13 @@
         """
         end_by = self.started_at + self.leave_seconds - CLEANUP_SECONDS
         if self.not_ready_at is None:
-            must_begin = now >= end_by - ROTATION_SECONDS
+            must_begin = now >= end_by - ROTATION_REMOVAL_SECONDS
             if must_begin or _can_spare_one(peers, now=now):
                 self.not_ready_at = now
             return False
         if now >= end_by:
             return True
-        out_of_rotation_at = self.not_ready_at + ROTATION_SECONDS
+        out_of_rotation_at = self.not_ready_at + ROTATION_REMOVAL_SECONDS
         return now >= max(out_of_rotation_at, received_at + QUIET_SECONDS)
 
 
