--- a/src/siskinshift/connections/request_queue.py
+++ b/src/siskinshift/connections/request_queue.py
@@ -38,7 +38,7 @@
 EXTRA_REQUESTS = 1
 # A request that has run this long no longer counts against the slots: its response may
 # have been lost with its upstream, and the slot must not stay occupied forever.
-# Requests of the sites take 0.6 s at most.
+# Requests in the users' deployments take 0.6 s at most.
 STUCK_AFTER_SECONDS = 1.5
 # Fraction of the time until the deadline after which a late request goes first. A late
 # response is still useful, but each one that goes first makes a new request late.
--- a/src/siskinshift/connections/upstream_state.py
+++ b/src/siskinshift/connections/upstream_state.py
@@ -153,7 +153,7 @@
         """Records that the upstream's process is reachable.
 
         Used only until the first heartbeat. An agent that starts beside a running
-        upstream waits 0.77 s for that heartbeat at the users' sites, and callers
+        upstream waits 0.77 s for that heartbeat in the users' deployments, and callers
         would be refused meanwhile although the upstream is free. An upstream that
         leaves reports it again in that heartbeat and serves the flows that it has
         accepted until then.
