--- a/src/siskinshift/configuration/changes.py
+++ b/src/siskinshift/configuration/changes.py
@@ -194,7 +194,7 @@
 @_handles(CreateService)
 def _create(change: CreateService, current: Service | None) -> Service:
     if current is not None and not current.deleted:
-        raise NameTakenError(f"service {change.service_id} already exists")
+        raise NameTakenError(f"service {change.service_id} exists")
     return attrs.evolve(change.service, deleted=False)
 
 
@@ -314,7 +314,7 @@
     if expected_revision == 0 and not required:
         return
     if expected_revision <= 0:
-        raise InvalidChangeError("the revision that the change is based on is missing")
+        raise InvalidChangeError("the revision the change was made from is missing")
     if expected_revision != current.revision:
         raise RevisionConflictError(
             f"service {current.service_id} is at revision {current.revision}, "
--- a/src/siskinshift/configuration/records.py
+++ b/src/siskinshift/configuration/records.py
@@ -160,7 +160,7 @@
     """
     service = decode_message(entry.value, Service)
     if service_key(service.service_id) != entry.key:
-        raise BadMessageError(f"{entry.key} contains another service")
+        raise BadMessageError(f"{entry.key} holds another service")
     return attrs.evolve(service, revision=entry.revision)
 
 
--- a/src/siskinshift/configuration/store.py
+++ b/src/siskinshift/configuration/store.py
@@ -190,7 +190,7 @@
             accepted = self._try_write(record, configuration)
             if accepted is not None:
                 return accepted
-        raise StoreUnavailableError("too many conflicts with concurrent changes")
+        raise StoreUnavailableError("other changes kept coming first")
 
     def _try_write(
         self, record: Service, configuration: Configuration
@@ -253,7 +253,7 @@
 ) -> Service:
     key = service_key(change.service_id)
     if key in configuration.unreadable:
-        raise StoreUnavailableError(f"record {key} is malformed")
+        raise StoreUnavailableError(f"record {key} can't be read")
     current = configuration.services_by_id.get(change.service_id)
     record = apply_change(change, current)
     if not record.deleted:
@@ -263,7 +263,7 @@
     size = len(encode_record(record))
     if size > MAX_RECORD_SIZE:
         raise RecordTooLargeError(
-            f"record has {size} bytes; allowed: up to {MAX_RECORD_SIZE}"
+            f"record of {size} bytes: allowed up to {MAX_RECORD_SIZE}"
         )
     return record
 
@@ -282,8 +282,7 @@
 ) -> AcceptedChange:
     if applied.service_id != change.service_id:
         raise InvalidChangeError(
-            f"change id {applied.change_id} was already used for service "
-            f"{applied.service_id}"
+            f"change id {applied.change_id} was used for service {applied.service_id}"
         )
     service = configuration.services_by_id.get(applied.service_id)
     if service is not None and service.revision != applied.revision:
@@ -308,4 +307,4 @@
 
 
 def _unknown_outcome_message(record: Service) -> str:
-    return f"change {record.change_id} may have taken effect; look it up by its id"
+    return f"change {record.change_id} may have taken effect; ask for it by its id"
--- a/src/siskinshift/configuration/validation.py
+++ b/src/siskinshift/configuration/validation.py
@@ -146,13 +146,9 @@
     try:
         ip_address = ipaddress.ip_address(address.host)
     except ValueError as error:
-        raise InvalidChangeError(
-            f"address {address.host!r}: not an IP address"
-        ) from error
+        raise InvalidChangeError(f"address {address.host!r}: no IP number") from error
     if ip_address.is_unspecified or ip_address.is_multicast:
-        raise InvalidChangeError(
-            f"address {address.host!r}: not the address of a single host"
-        )
+        raise InvalidChangeError(f"address {address.host!r}: not one host's number")
     if not 1 <= address.port <= MAX_PORT:
         raise InvalidChangeError(f"port {address.port}: allowed 1 to {MAX_PORT}")
     return Endpoint(str(ip_address), address.port)
@@ -162,5 +158,5 @@
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise InvalidChangeError(f"{kind} {name}: listed twice")
+            raise InvalidChangeError(f"{kind} {name}: named twice")
         seen.add(name)
--- a/src/siskinshift/control/codec.py
+++ b/src/siskinshift/control/codec.py
@@ -125,7 +125,7 @@
         # applies during decompression, before the memory is allocated.
         data = decompressor.decompress(body, MAX_MESSAGE_SIZE)
     except zlib.error as error:
-        raise BadMessageError("body is not valid deflate data") from error
+        raise BadMessageError("not packed as it says") from error
     if not decompressor.eof:
-        raise BadMessageError("compressed body is truncated or too long")
+        raise BadMessageError("cut short or too long unpacked")
     return data
--- a/src/siskinshift/kv/etcd.py
+++ b/src/siskinshift/kv/etcd.py
@@ -184,7 +184,7 @@
                 raise TypeError("succeeded is not a boolean")
             return TransactionResult(succeeded, _decode_revision(response))
         except MALFORMED_ERRORS as error:
-            raise StoreOutcomeUnknownError("malformed response") from error
+            raise StoreOutcomeUnknownError("answer can't be read") from error
 
     def grant_lease(self, ttl: float) -> Lease:
         """Grants a lease.
@@ -205,7 +205,7 @@
         try:
             return Lease(int(response["ID"]), float(int(response["TTL"])))
         except MALFORMED_ERRORS as error:
-            raise StoreUnavailableError("malformed response") from error
+            raise StoreUnavailableError("answer can't be read") from error
 
     def keep_alive(self, lease_id: int) -> float:
         """Renews a lease.
@@ -225,7 +225,7 @@
         try:
             return float(int(response["result"].get("TTL", "0")))
         except MALFORMED_ERRORS as error:
-            raise StoreUnavailableError("malformed response") from error
+            raise StoreUnavailableError("answer can't be read") from error
 
     def revoke_lease(self, lease_id: int) -> None:
         """Revokes a lease and removes its keys.
@@ -283,17 +283,17 @@
             raise StoreOutcomeUnknownError(f"status {response.status}")
         if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             self._record_failure()
-            raise StoreUnavailableError("the store limits the request rate")
+            raise StoreUnavailableError("the store limits its rate")
         if response.status != HTTPStatus.OK:
             raise StoreUnavailableError(f"refused with status {response.status}")
         try:
             document = orjson.loads(response.body)
         except orjson.JSONDecodeError as error:
             self._record_failure()
-            raise StoreOutcomeUnknownError("response is not JSON") from error
+            raise StoreOutcomeUnknownError("answer is no JSON") from error
         if not isinstance(document, dict):
             self._record_failure()
-            raise StoreOutcomeUnknownError("response is not a JSON object")
+            raise StoreOutcomeUnknownError("answer is no JSON object")
         self._record_success()
         return document
 
@@ -384,7 +384,7 @@
         entries = tuple(_decode_entry(item) for item in response.get("kvs") or ())
         return Snapshot(entries, _decode_revision(response))
     except MALFORMED_ERRORS as error:
-        raise StoreUnavailableError("malformed response") from error
+        raise StoreUnavailableError("answer can't be read") from error
 
 
 def _decode_entry(item: dict[str, str]) -> Entry:
@@ -401,7 +401,7 @@
         if int(result.get("compact_revision", "0")):
             raise StoreCompactedError("the start revision was compacted")
         if result.get("canceled"):
-            raise StoreUnavailableError("the store canceled the watch")
+            raise StoreUnavailableError("the store ended the watch")
         events = result.get("events") or ()
         return WatchBatch(
             entries=tuple(
@@ -415,7 +415,7 @@
             revision=_decode_revision(result),
         )
     except MALFORMED_ERRORS as error:
-        raise StoreUnavailableError("malformed watch response") from error
+        raise StoreUnavailableError("watch can't be read") from error
 
 
 def _is_delete(event: dict[str, Any]) -> bool:
--- a/src/siskinshift/kv/transport.py
+++ b/src/siskinshift/kv/transport.py
@@ -75,7 +75,7 @@
             return HttpResponse(response.status, _read_body(response, deadline))
         except (OSError, http.client.HTTPException) as error:
             self._endpoint_index += 1
-            raise StoreOutcomeUnknownError(f"response lost: {error}") from error
+            raise StoreOutcomeUnknownError(f"answer lost: {error}") from error
         finally:
             connection.close()
 
@@ -99,7 +99,7 @@
 
     def _connect(self) -> http.client.HTTPConnection:
         if not self._settings.endpoints:
-            raise StoreUnavailableError("no endpoint is configured")
+            raise StoreUnavailableError("no endpoint in the settings")
         endpoint = self._settings.endpoints[
             self._endpoint_index % len(self._settings.endpoints)
         ]
@@ -110,7 +110,7 @@
             connection.connect()
         except OSError as error:
             self._endpoint_index += 1
-            raise StoreUnavailableError(f"unreachable: {error}") from error
+            raise StoreUnavailableError(f"not reached: {error}") from error
         return connection
 
 
@@ -162,7 +162,7 @@
         chunks.append(chunk)
         size += len(chunk)
         if size > MAX_RESPONSE_SIZE or time.monotonic() > deadline:
-            raise TimeoutError("response too slow or too large")
+            raise TimeoutError("answer too slow or too large")
     if response.length:
         raise http.client.IncompleteRead(b"", response.length)
     return b"".join(chunks)
